--- a/Services/DirectEntry/CrashWatch.cpp
+++ b/Services/DirectEntry/CrashWatch.cpp
@@ -7,9 +7,9 @@
 
 namespace DirectEntry {
 
-// The instance of a server that ended refuses at once; the farthest is some milliseconds away.
+// The instance of a terminated server refuses the connection at once, and the round trip to the farthest one takes some milliseconds.
 static constexpr Core::Duration question_patience { 100 };
-// Answers of one end break off within this, and a server needs longer to be back.
+// All answers of a terminated server break off within this time, and a server takes longer to restart.
 static constexpr Core::Duration end_is_known_for { 500 };
 
 CrashWatch::CrashWatch(Core::EventLoop& loop, std::string const& identity, std::unique_ptr<Platform::BlameRecords> records, Core::Metrics& metrics, Callbacks callbacks)
@@ -22,7 +22,7 @@
 {
 }
 
-// Whether a server has ended.
+// Detection of terminated servers.
 
 void CrashWatch::ask_whether_ended(std::string const& server, std::string const& address, std::function<void(bool)> callback)
 {
@@ -62,7 +62,7 @@
         callback(has_ended);
 }
 
-// What speaks against a request.
+// Suspects and blamed requests.
 
 Schema::CrashNews& CrashWatch::news()
 {
@@ -83,7 +83,7 @@
 
 void CrashWatch::on_ended_under(std::string const& incarnation, Routing::CrashSuspects::Run const& run)
 {
-    // An entry that no other reaches hears of a blame here alone.
+    // An entry without links to others learns only from the store that a request was blamed.
     m_kept.read_soon();
     auto const now = Core::monotonic_now();
     auto const blamed = m_suspects.on_server_ended(incarnation, { run }, now);
@@ -133,7 +133,7 @@
     Core::log_event(Core::LogLevel::Info, "suspect_cleared", { { "digest", digest }, { "reason", reason } });
 }
 
-// Runs of suspects.
+// Attempts of suspects.
 
 Routing::CrashSend CrashWatch::on_sent(std::string const& digest, std::string const& server)
 {
--- a/Services/DirectEntry/CrashWatch.h
+++ b/Services/DirectEntry/CrashWatch.h
@@ -16,44 +16,59 @@
 
 namespace DirectEntry {
 
-/// Finds out whether a server ended when answers of it broke off, and shares with the other entries which requests that speaks
-/// against.
+/// Detects that a backend server terminated when its answers break off, records which requests ran there as suspected causes, and
+/// shares these suspects with the other entries and with the platform's store.
+///
+/// A request that is found to terminate the servers that run it is blamed: it is refused from then on. Routing::CrashSuspects
+/// decides which requests are suspected and blamed; this class does the input and output for it. Requests are named by their
+/// digest (Routing::request_digest), so that a repetition by the caller is recognised.
 class CrashWatch {
 public:
     struct Callbacks {
-        /// The other entries that are linked.
+        /// Returns the identities of the other entries that this one has a link to.
         std::function<std::vector<std::string>()> entries;
         std::function<void(std::string const& entry, Schema::Message const&)> send;
-        /// The request is blamed from now on: what is in hand of it must end.
+        /// Called when a request is blamed for the first time since it was last cleared. Requests in flight with this digest must
+        /// be refused.
         std::function<void(std::string const& digest)> blamed;
     };
 
-    /// `records`: null where the platform keeps nothing of the product's own.
+    /// @param records stores blamed requests across restarts; null if the platform offers no storage for this system's own records.
     CrashWatch(Core::EventLoop&, std::string const& identity, std::unique_ptr<Platform::BlameRecords> records, Core::Metrics&, Callbacks);
 
-    /// Reads what is remembered of earlier processes.
+    /// Starts reading the blamed requests that earlier processes stored.
     void start() { m_kept.read(); }
 
     Routing::CrashSuspects const& suspects() const { return m_suspects; }
 
-    /// Tries to connect to a server whose answer broke off. `callback` hears whether nobody listens there any more; a server that
-    /// says nothing may live behind a cut.
+    /// Tries to connect to a server whose answer broke off, for at most 100 ms.
+    /// @param callback receives true if the connection is refused, so that no process listens there any more, or if the server was
+    /// found terminated within the last 500 ms; it may then be called before this function returns. It receives false if the
+    /// connection succeeds, and also if it times out: the server may be running behind a network partition.
     void ask_whether_ended(std::string const& server, std::string const& address, std::function<void(bool has_ended)> callback);
 
-    /// A server ended while it ran the request. `incarnation` names the one start of the server.
+    /// A server terminated while it ran the request, which becomes a suspect or is blamed.
+    /// @param incarnation the server's id and start time; see ServerSend::incarnation().
     void on_ended_under(std::string const& incarnation, Routing::CrashSuspects::Run const&);
-    /// The request ran to its end at some server.
+    /// The request ran to completion at some server: it is no suspect any more, here and at the other entries.
     void on_ran_to_end(std::string const& digest);
 
+    /// The request is being sent to a server. If it is a suspect, the other entries are notified, as a suspect that runs alone must
+    /// run nowhere else.
+    /// @return whether the request is a suspect and runs alone; to be passed to on_send_over().
     Routing::CrashSend on_sent(std::string const& digest, std::string const& server);
+    /// The attempt has ended, whatever its outcome.
     void on_send_over(std::string const& digest, Routing::CrashSend);
 
-    /// An entry has a new link: it may know nothing yet.
+    /// Sends the current suspects, if any, to an entry that was just linked: it may know none of them.
     void on_entry_linked(std::string const& entry) const;
+    /// Applies the suspects, runs and cleared requests that another entry sent.
     void on_news(std::string const& entry, Schema::CrashNews const&);
+    /// The link to an entry is down: its runs of suspects no longer count.
     void on_entry_gone(std::string const& entry) { m_suspects.on_peer_gone(entry); }
 
-    /// The operator lets the request run again. @return false if it is no suspect.
+    /// Clears the request on the operator's order, here and at the other entries, so that it runs again.
+    /// @return false if it is no suspect.
     bool pardon(std::string const& digest);
 
     void report_metrics() const;
@@ -75,10 +90,11 @@
     Callbacks m_callbacks;
     Routing::CrashSuspects m_suspects;
     Platform::KeptBlames m_kept;
+    // Connection attempts in progress, by server id.
     std::map<std::string, Question> m_questions;
-    // Servers that were found ended, and when.
+    // Servers that were found terminated, by id, with the time of detection.
     std::map<std::string, Core::Time> m_ended;
-    // What the other entries are told in the next turn.
+    // Collects what is sent to the other entries in the next iteration of the event loop.
     std::optional<Schema::CrashNews> m_news;
 };
 
--- a/Services/DirectEntry/DirectEntry.cpp
+++ b/Services/DirectEntry/DirectEntry.cpp
@@ -13,21 +13,22 @@
 using Configuration::FactChanges;
 
 static constexpr Core::Duration tick_interval { 20 };
-// Why nothing can be had changes more slowly than places come and go.
+// Waiting requests of services without a free slot are offered one only every so many ticks: why there is none changes more slowly
+// than slots become free.
 static constexpr int turns_by_offer_without_place = 5;
 static constexpr Core::Duration link_check_interval { 500 };
 static constexpr int link_checks_by_sharing = EngineSharing::interval / link_check_interval;
-// Past this, what is denied may be allowed by a configuration that has not come yet.
+// A configuration older than this may be out of date: a newer one, not received yet, may allow a request that it denies.
 static constexpr Core::Duration stale_after { 4000 };
 static constexpr Core::Duration least_drain { 3000 };
 static constexpr Core::Duration drain_margin { 500 };
-// Engines are dealt anew soon after an entry or an engine comes, but not for each one that comes beside it.
+// Engine roles are reassigned soon after an entry or engine appears, but once for all that appear within this time.
 static constexpr Core::Duration least_roles_interval { 100 };
-// Within this an entry that starts is linked to a seed and has heard from it of the others, where the seed is up.
+// Within this time a new entry is linked to a seed and has received the list of other entries from it, if the seed is up.
 static constexpr Core::Duration acquaintance { 2000 };
-// Whoever stood still for this long has lost its links.
+// After a pause of this length the peers have dropped their links to this process.
 static constexpr Core::Duration told_pause = Transport::LinkKeepAlive {}.silence;
-// What waited in a socket during a pause is read within this after it.
+// Data that arrived in sockets during a pause is read within this time after it.
 static constexpr Core::Duration first_reads_after_pause { 100 };
 static constexpr size_t queue_limit = 256;
 static constexpr int status_ok = 200;
@@ -188,7 +189,7 @@
     m_silent_peers.erase(hello.identity);
     if (hello.role == Schema::Role::Entry) {
         m_hub->send(hello.identity, load_news());
-        // What either asked the other for over the link before may be gone with it.
+        // Requests that either entry sent over the previous link may be lost.
         m_hub->send(hello.identity, news());
         m_facts.on_entry_linked(hello.identity);
         m_crashes.on_entry_linked(hello.identity);
@@ -219,7 +220,7 @@
     if (m_known_entries.contains(identity))
         m_returning.on_outage(Core::monotonic_now());
     m_told_use.erase(identity);
-    // One whose link was only found silent is perhaps there, and its last word is good until it is old.
+    // An agent whose link was dropped for silence may still be running, and its last message remains valid until it expires.
     if (m_silent_peers.erase(identity) == 0)
         m_servers.on_agent_gone(identity);
     if (m_weights) {
@@ -228,8 +229,8 @@
     }
 }
 
-/// What waits in sockets when the process wakes is as old as the pause is long. Links go with all that they still hold, which their
-/// peers gave up by then; the list, the configuration and the versions are read anew, and until then nothing is sent.
+/// Data that waits in sockets when the process resumes may be as old as the pause is long. All links are dropped with their unread
+/// messages, as the peers have given them up by then. The facts are read again, and no request is sent until that is done.
 void DirectEntry::on_woke(Core::Duration paused_for)
 {
     m_metrics.count("mountbarrow_wakes_total");
@@ -238,7 +239,7 @@
     m_facts.on_woke();
 }
 
-/// The time of a request that is read now: of one that waited in its socket while the process stood still, the beginning of that.
+/// Arrival time of a request that is read now: the start of the last pause if the request may have waited in its socket during it.
 Core::Time DirectEntry::arrival()
 {
     m_facts.pauses().look();
@@ -251,7 +252,7 @@
 void DirectEntry::on_link_message(Schema::Hello const& from, Schema::Message const& message)
 {
     m_facts.pauses().look();
-    // One that waited while the process stood still went with its link.
+    // A message that waited during a pause of the process is dropped with its link.
     if (!m_hub->is_up(from.identity))
         return;
     auto const now = Core::monotonic_now();
@@ -292,7 +293,7 @@
     }
 }
 
-/// An engine that holds a version shows that it was named, whatever the log's newest record says.
+/// A version that an engine holds was named by the operator, whatever the newest record of the log says.
 void DirectEntry::on_engine_version(std::string const& ip, int64_t version)
 {
     m_roles_changed = true;
@@ -321,7 +322,8 @@
     update_links();
 }
 
-/// Of two entries only one dials, so one that comes by itself must be known to those that are to dial it.
+/// Announces new entries to the others. Of two entries only one connects to the other, so the others must know of an entry to which
+/// they are the ones to connect.
 void DirectEntry::introduce_entries()
 {
     if (m_met_entries.empty())
@@ -334,7 +336,7 @@
         m_hub->send(identity, message);
 }
 
-/// How far this one has read, so that peers which are behind ask for the rest.
+/// Returns how far this entry has read the log, so that peers that are behind request the missing facts.
 Schema::Message DirectEntry::news() const
 {
     Schema::Message message;
@@ -346,7 +348,7 @@
     return message;
 }
 
-/// What this one is asked for, and how far it has read.
+/// Returns this entry's request rates, and how far it has read the log.
 Schema::Message DirectEntry::load_news() const
 {
     Schema::Message message;
@@ -372,10 +374,10 @@
     tell_engine_use();
 }
 
-/// Agents tell each change of the load at once only to those that use their engine.
+/// Notifies agents whether this entry uses their engine: they send each load change at once only to the entries that do.
 void DirectEntry::tell_engine_use()
 {
-    // Another entry of the list may name the same address, such as one of a writer that is no engine.
+    // Several items of the backend server list may have the same IP address, and not all of them need be engines.
     std::map<std::string, bool> uses;
     for (auto const* server : m_facts.replica().servers()) {
         auto& is_used = uses[Transport::split_address(server->address).first];
@@ -416,12 +418,12 @@
         for (auto const& ip : m_followed.ips())
             wanted[ip] = { ip, link_port };
     }
-    // Of two entries the one with the lower identity dials.
+    // Of two entries the one with the lower identity connects.
     for (auto const& entry : m_known_entries) {
         if (entry > m_settings.identity)
             wanted[entry] = { entry, link_port };
     }
-    // Seeds know entries of every region, which the agents that this one follows may not.
+    // Seeds know entries of every region; the followed agents may not.
     bool const is_new_here = now - m_started_at < acquaintance;
     if (is_new_here || m_known_entries.empty() || !m_context.routes) {
         for (auto const& seed : m_settings.seeds.value_or(std::vector<std::string> {})) {
@@ -450,7 +452,7 @@
     };
 }
 
-/// Nobody knows where an entry is before it has told its load.
+/// Returns Far for an entry that has not sent its load yet: its failure domain is unknown.
 Platform::Distance DirectEntry::distance(std::string const& entry) const
 {
     auto const& loads = m_sharing.peer_loads();
@@ -527,8 +529,8 @@
     auto const now = Core::monotonic_now();
     auto const goals = m_goals.goals(version_bound(), now);
     for (auto const& goal : goals) {
-        // The version of the start lies beside most engines already, and comes to new ones from their peers; where all
-        // have lost it, agents would wait for entries to read it from the origin.
+        // Most engines have the initial version on their instances already, and new ones fetch it from their peers. If all have
+        // lost it, the entries must cache it, as agents wait for entries to read it from the origin.
         if (m_weights && (m_goals.is_named(goal.model) || m_weights->is_lost(goal)))
             m_weights->set_goal(goal, now - Core::Duration(goal.age_ms));
     }
@@ -555,7 +557,7 @@
     request->begin();
 }
 
-/// Sends what builds do not understand that end a link at any member which they do not know.
+/// Returns a sender for messages that older builds do not know and would close the link for; it skips entries of such builds.
 std::function<void(std::string const&, Schema::Message const&)> DirectEntry::sender_to_able_entries()
 {
     return [this](std::string const& entry, Schema::Message const& message) {
@@ -569,7 +571,7 @@
     return {
         .entries = [this] { return m_hub->peers(Schema::Role::Entry); },
         .send = sender_to_able_entries(),
-        // The request whose send showed it is in the middle of that.
+        // Deferred, as the request whose attempt led to this is still handling the end of that attempt.
         .blamed = [this](std::string const& digest) { m_loop.soon([this, digest] {
                                                           auto const requests = m_requests;
                                                           for (auto const& [number, request] : requests)
@@ -580,8 +582,8 @@
 
 void DirectEntry::offer_places()
 {
-    // A place becomes free by an answer, a report, a new server, or by time alone. Each request that waits looks at all
-    // engines: where none has room, only now and then, to learn why not.
+    // A slot becomes free by an answer, an agent's report, a new server, or the passing of time. Each waiting request evaluates all
+    // engines, so where none has a free slot, requests try only now and then, to learn why there is none.
     bool const is_due = ++m_offers % turns_by_offer_without_place == 0;
     auto const now = Core::monotonic_now();
     for (auto& [service, line] : m_lines) {
@@ -664,7 +666,7 @@
         reply_metrics(*exchange);
 }
 
-/// GET tells all suspects, DELETE of one lets it run again everywhere.
+/// GET returns all suspects as JSON; DELETE of /suspects/DIGEST clears one, so that it runs again at all entries.
 void DirectEntry::reply_suspects(Transport::HttpExchange& exchange)
 {
     if (exchange.method() == "GET") {
--- a/Services/DirectEntry/DirectEntry.h
+++ b/Services/DirectEntry/DirectEntry.h
@@ -24,25 +24,34 @@
 
 namespace DirectEntry {
 
-/// An entry that speaks to backend servers itself: wiring of links, facts, callers and metrics.
+/// An entry process that sends callers' requests to backend servers itself.
+///
+/// Owns and connects its parts: links to other entries and to agents, the facts (the configuration, the named versions and the list
+/// of backend servers, as read from the platform's log), the requests in flight, the weights cache, and the ports for callers,
+/// readiness and metrics.
 class DirectEntry {
 public:
+    /// The adapters to the platform that the entry owns.
     struct PlatformParts {
         EntryFacts::Sources facts;
-        /// Null where the platform keeps nothing of the product's own.
+        /// Stores blamed requests; null if the platform offers no storage for this system's own records.
         std::unique_ptr<Platform::BlameRecords> blames;
         std::unique_ptr<Platform::RequestHeads> heads;
+        /// Null if this entry caches no weights.
         std::unique_ptr<Platform::WeightOrigin> origin;
     };
 
+    /// Binds all ports and starts reading the facts.
     /// @return AddressInUse if a port cannot be bound.
     static Core::ErrorOr<std::unique_ptr<DirectEntry>> create(Core::EventLoop&, Schema::DirectEntrySettings const&, PlatformParts);
     ~DirectEntry();
 
-    /// Takes no new work, finishes what is in hand, and ends the loop.
+    /// Reports not ready, closes each caller's connection after its answer, and stops the event loop once no request is in flight, but
+    /// not before 3 s have passed. Requests in flight 0.5 s before the end of the settings' grace period are refused or aborted.
     void drain();
 
-    /// The settings file was read again. What cannot change in a running process is named in the log.
+    /// Applies the bounds and seeds of settings that were read again; logs an error if they could not be read. The log says whether
+    /// addresses changed, which takes a restart.
     void reload(Core::ErrorOr<Schema::DirectEntrySettings> const&);
 
 private:
@@ -72,7 +81,7 @@
     Schema::Message load_news() const;
     void send_goals();
     void keep_weights();
-    /// Time from the naming of a version within which it must be served.
+    /// Time within which engines must serve a version after it was named.
     Core::Duration version_bound() const { return Core::Duration(m_settings.bounds.version_ms); }
     bool is_stale() const;
     bool is_ready() const;
@@ -98,21 +107,21 @@
     std::unique_ptr<Transport::LinkHub> m_hub;
     std::unique_ptr<GoalTeller> m_goal_teller;
     int m_link_checks { 0 };
-    // Peers whose links were found silent, until they are up again.
+    // Peers whose links were dropped because nothing was received for the keep-alive limit, until they are up again.
     std::set<std::string> m_silent_peers;
     std::set<std::string> m_known_entries;
-    // Entries that came by themselves and that others may not know of yet.
+    // Entries linked for the first time since the last directory message, which other entries may not know of yet.
     std::set<std::string> m_met_entries;
     VersionGoals m_goals;
 
     std::mt19937_64 m_random;
     EngineSharing m_sharing;
     Routing::FollowedEngines m_followed;
-    // IP numbers of the engines that this entry fills or helps to fill.
+    // IP addresses of the engines that this entry has a role for, as their owner or as a helper.
     std::set<std::string> m_used_engines;
-    // What agents were told of the use of their engines, by IP number.
+    // Whether this entry uses an engine, as last sent to its agent, by IP address.
     std::map<std::string, bool> m_told_use;
-    // Who shares the engines, or which engines there are, has changed since they were dealt.
+    // The entries or engines changed since engine roles were last assigned.
     bool m_roles_changed { false };
     Core::Time m_roles_at { 0 };
     Core::Time m_started_at;
@@ -120,10 +129,11 @@
     Routing::RetryShare m_retries;
     PeerAbilities m_abilities;
     CrashWatch m_crashes;
-    // Null where the settings give it no port or no bandwidth.
+    // Null if the settings give no metrics port or no link bandwidth, or if there is no origin.
     std::unique_ptr<EntryWeights> m_weights;
     Routing::ReturningCallers m_returning;
     RequestContext m_context;
+    // Queues of the requests that wait for a slot, by service.
     std::map<std::string, Routing::ServiceLine> m_lines;
     std::map<uint64_t, std::shared_ptr<ProxiedRequest>> m_requests;
     uint64_t m_next_request { 1 };
--- a/Services/DirectEntry/EngineSharing.cpp
+++ b/Services/DirectEntry/EngineSharing.cpp
@@ -6,6 +6,7 @@
 
 namespace DirectEntry {
 
+// Weight of the previous value in the exponential smoothing of request rates, per interval.
 static constexpr double demand_memory = 0.7;
 static constexpr double milliseconds_per_second = 1000;
 
--- a/Services/DirectEntry/EngineSharing.h
+++ b/Services/DirectEntry/EngineSharing.h
@@ -14,33 +14,41 @@
 
 namespace DirectEntry {
 
-/// What this entry and the others are asked for, and which engines each of them therefore fills.
+/// Tracks the request rate of each service at this entry and at the others, and derives from these rates which engines each entry
+/// fills.
+///
+/// Each engine has one owner among the entries, which keeps it full, and some helpers; see Routing::EngineRole. All entries
+/// compute the same assignment from the same rates and engines.
 class EngineSharing {
 public:
-    /// Interval at which entries tell each other what they are asked for.
+    /// Interval at which entries send each other their request rates.
     static constexpr Core::Duration interval { 1000 };
 
     EngineSharing(std::string identity, std::string failure_domain);
 
-    /// A caller asked for something of the service.
+    /// Counts one request of a caller for the service.
     void on_asked(std::string const& service) { m_asked[service] += 1; }
 
-    /// @return true if nothing was known of that entry before.
+    /// Stores the request rates that another entry sent.
+    /// @return true if none were known of that entry before.
     bool on_peer_load(std::string const& entry, Schema::EntryLoad const&);
     void on_peer_down(std::string const& entry) { m_loads.erase(entry); }
 
-    /// Takes what was asked since the last call into the smoothed rates. To be called once an interval.
+    /// Merges the requests counted since the last call into the smoothed rates. To be called once per `interval`.
     void end_interval();
-    /// What this entry is asked for, to be told to the other entries.
+    /// Returns this entry's failure domain and smoothed request rates, to be sent to the other entries.
     Schema::EntryLoad load() const;
 
-    /// What this entry is to each engine that serves a whole version; one that is not followed is taken to serve one.
+    /// Returns this entry's role for each engine that serves a whole version, by backend server id.
+    ///
+    /// Draining engines have no role. An engine that this entry does not follow, so that its version is unknown here, is assumed to
+    /// serve one.
     std::map<std::string, Routing::EngineRole> roles(Routing::RouteTable const&, Configuration::FactReplica const&, Routing::ServerTable const&, Routing::FollowedEngines const&, Core::Time now) const;
 
-    /// This entry and the others that are linked, without what they are asked for.
+    /// Returns this entry and those that have sent their rates over a link that is up, with a demand of 0.
     std::vector<Routing::SharingEntry> entries() const;
 
-    /// The last word of each other entry that is linked.
+    /// The last rates that each other linked entry sent, by identity.
     std::map<std::string, Schema::EntryLoad> const& peer_loads() const { return m_loads; }
 
 private:
@@ -49,8 +57,9 @@
     std::string m_identity;
     std::string m_failure_domain;
     std::map<std::string, Schema::EntryLoad> m_loads;
-    // Requests since the last interval, and the smoothed rates, a second.
+    // Requests counted since the last interval, by service.
     std::map<std::string, uint64_t> m_asked;
+    // Smoothed request rates, requests per second, by service.
     std::map<std::string, double> m_demand;
 };
 
--- a/Services/DirectEntry/EntryFacts.cpp
+++ b/Services/DirectEntry/EntryFacts.cpp
@@ -7,20 +7,21 @@
 
 namespace DirectEntry {
 
-// What is left of the bound on draining for a read of the list, and for what was sent just before it.
+// Part of the draining time limit that is reserved for one read of the list and for requests sent just before it.
 static constexpr Core::Duration drain_reaction { 1000 };
 static constexpr Core::Duration shortest_list_interval { 400 };
 static constexpr Core::Duration longest_list_interval { 2000 };
-// What is left of the time to be in touch again, past a read that waited on a dead connection: a second try where the first
-// fails too, and what the change then needs to be in force.
+// Part of the time limit for contact with the log that is reserved after a read that waited on a dead connection: for a second
+// attempt if the first one fails too, and for putting the change in force.
 static constexpr Core::Duration read_again_reserve { 700 };
 static constexpr Core::Duration shortest_configuration_wait { 600 };
-// What a link still brings this long after a pause may have been sent before it; one that is silent longer is dropped.
+// Messages received over a link within this time after a pause may have been sent before it; a link over which nothing is received
+// for longer is dropped.
 static constexpr Core::Duration late_on_link = Transport::LinkKeepAlive {}.silence;
-// Two entries that have run for long know when versions were named; of two that have just started neither does.
+// Entries that have run for long know when versions were named. Two are asked, as one of them may have just started.
 static constexpr int most_asked_for_versions = 2;
 static constexpr Core::Duration ask_interval { 1000 };
-// Links are back and the log has been tried twice well before this.
+// Links are re-established and the log has been tried twice well before this.
 static constexpr Core::Duration alone_after { 3000 };
 
 Platform::FactFollowerSettings follower_settings(Schema::DirectEntrySettingsBounds const& bounds)
@@ -52,7 +53,7 @@
 
 void EntryFacts::start()
 {
-    // What the log says of versions is judged by what is remembered of them, so that comes first.
+    // Versions in the log are evaluated against the stored ones, so these are read first.
     m_kept.start([this] { m_follower.start(); });
 }
 
@@ -103,7 +104,7 @@
 {
     m_woke_at = Core::monotonic_now();
     m_has_heard_peer = false;
-    // What others were asked before is lost with the links.
+    // Earlier requests to other entries are lost with the links.
     m_behind_since.reset();
     m_asked_for_versions = 0;
     m_follower.read_anew();
@@ -115,7 +116,8 @@
     if (!m_woke_at)
         return true;
     auto const now = Core::monotonic_now();
-    // While the log is away a peer that has gone on knows as much as there is; without either, all that is left is to go on.
+    // While the log is unavailable, another entry that kept running has the latest facts. Without either, continue with the facts at
+    // hand after a while.
     bool const is_over = m_follower.read_at() >= *m_woke_at || m_has_heard_peer || now - *m_woke_at >= alone_after;
     if (is_over) {
         Core::log_event(Core::LogLevel::Info, "awake", { { "after_ms", std::to_string((now - *m_woke_at).count()) }, { "heard", m_follower.read_at() >= *m_woke_at ? "log" : m_has_heard_peer ? "entry"
@@ -145,7 +147,7 @@
 {
     m_failing.erase(topic);
     m_asked.on_regained(topic);
-    // What was read just now is dated by a guess: an entry that went on reading knows better.
+    // The naming times of the versions read just now are estimates; entries that kept reading the log know better ones.
     if (topic == Configuration::FactTopic::Configuration)
         m_asked_for_versions = 0;
     Core::log_event(Core::LogLevel::Info, "log_regained", { { "topic", topic_name(topic) }, { "lost_for_ms", std::to_string(lost_for.count()) } });
@@ -153,7 +155,7 @@
 
 // Other entries.
 
-/// Asks for whatever the receiver has and this entry lacks.
+/// Requests all facts that the receiver has and this entry lacks.
 Schema::Message EntryFacts::request() const
 {
     Schema::Message message;
@@ -170,10 +172,10 @@
     ask_for_versions(entry);
 }
 
-/// Others may know of a version that the log told this one nothing of, or when one was named.
+/// Other entries may know a version that the log did not bring to this one, or when a version was named.
 void EntryFacts::ask_for_versions(std::string const& entry)
 {
-    // Without a configuration of its own it would be sent a whole one, and serves nothing yet.
+    // Without a configuration this entry would be sent a whole one, and it serves no requests yet.
     if (m_asked_for_versions >= most_asked_for_versions || !m_replica.configuration())
         return;
     m_asked_for_versions += 1;
@@ -189,7 +191,7 @@
 void EntryFacts::on_peer_end(std::string const& entry, int64_t configuration_end, std::optional<int64_t> configuration_version)
 {
     bool const is_behind = configuration_end > m_replica.end(Configuration::FactTopic::Configuration);
-    // An entry that starts reads the log's newest record, which may be an older configuration that was written late.
+    // An entry that starts reads the newest record of the log, which may be an older configuration that was written late.
     auto const own_version = this->configuration_version();
     bool const has_older = own_version && configuration_version && *configuration_version > *own_version;
     if (!is_behind && !has_older) {
@@ -197,7 +199,7 @@
         ask_for_versions(entry);
         return;
     }
-    // Its read brought what this one's has not: perhaps this one waits on a dead connection.
+    // The other entry has read facts that this one has not: this one's read may be waiting on a dead connection.
     if (!may_ask_again(entry, Core::monotonic_now()))
         return;
     auto message = request();
@@ -206,7 +208,7 @@
     m_callbacks.send(entry, message);
 }
 
-/// Whether this entry has been behind for long enough, and has not just asked.
+/// Whether this entry has been behind for long enough, and has not asked within the last second. Records the request if so.
 bool EntryFacts::may_ask_again(std::string const& entry, Core::Time now)
 {
     auto const behind_since = m_behind_since.value_or(now);
@@ -232,7 +234,7 @@
     auto const batch_age = Core::Duration(batch.age_ms);
     m_has_heard_peer = true;
     auto const complete_at = m_follower.configuration_complete_at(now);
-    // A peer that is itself behind must not make this one believe that it is current.
+    // Facts from an entry that is behind too must not make this one's facts count as more current than they are.
     if (batch_age < age(now))
         m_follower.on_peer_facts(batch_age);
     auto const sent_at = m_pauses.earliest_arrival(now - late_on_link, now);
--- a/Services/DirectEntry/EntryFacts.h
+++ b/Services/DirectEntry/EntryFacts.h
@@ -19,62 +19,72 @@
 
 namespace DirectEntry {
 
-/// What the follower's settings are for an entry with these bounds.
+/// Derives how long reads of the log may wait, and how often the list of backend servers is read, from the bounds that the entry must keep.
 Platform::FactFollowerSettings follower_settings(Schema::DirectEntrySettingsBounds const&);
 
-/// What an entry knows of the configuration, the named versions and the backend servers: read from the platform's log, and
-/// from other entries where the log brings this one nothing.
+/// Keeps the facts of an entry current: the configuration, the versions of models' weights named in the operator's log records, and
+/// the list of backend servers.
+///
+/// The facts are read from the platform's log. While the log fails, or brings less than other entries have read, they are requested
+/// from these entries. The versions that earlier processes knew are read from the platform's store first.
 class EntryFacts {
 public:
     struct Callbacks {
+        /// Called after facts of the replica changed.
         std::function<void(Configuration::FactChanges const&)> changed;
         /// Sends a message to another entry.
         std::function<void(std::string const& entry, Schema::Message const&)> send;
-        /// The other entries that a message can be sent to.
+        /// Returns the identities of the other entries that this one has a link to.
         std::function<std::vector<std::string>()> entries;
-        /// Where another entry is.
+        /// Returns whether another entry is in the same region.
         std::function<Platform::Distance(std::string const& entry)> distance;
     };
 
-    /// Where the facts come from.
+    /// The platform's log and store that the facts are read from.
     struct Sources {
         std::unique_ptr<Platform::FactLog> log;
-        /// Null where the platform keeps nothing of the product's own.
+        /// Stores known versions across restarts; null if the platform offers no storage for this system's own records.
         std::unique_ptr<Platform::VersionRecords> versions;
     };
 
-    /// Reads nothing before it is started.
+    /// Reads nothing until start() is called.
     EntryFacts(Core::EventLoop&, std::string const& identity, Sources, Platform::FactFollowerSettings, Core::Metrics&, Callbacks);
 
+    /// Reads the stored versions, then starts to follow the log.
     void start();
 
     Configuration::FactReplica const& replica() const { return m_replica; }
-    /// Whether all that entries before this one knew of versions is known.
+    /// Whether the versions that earlier processes stored have been read.
     bool knows_kept_versions() const { return m_kept.is_read(); }
     Core::PauseWatch& pauses() { return m_pauses; }
 
-    /// The process woke from a pause: everything is read anew.
+    /// Reads all facts again after the process resumed from a pause.
     void on_woke();
-    /// Whether everything was heard anew since the last pause of the process, or nobody is there who could tell.
+    /// Whether the facts are current again after the last pause of the process: since it resumed, the log was read or another entry
+    /// sent its facts, or 3 s have passed without either. True if there was no pause.
     bool is_awake();
 
-    /// Time since the older of both topics was known to be current.
+    /// Time since both topics, the configuration and the list of backend servers, were last known to be current.
     Core::Duration age(Core::Time now) const { return m_follower.age(now); }
     Core::Duration configuration_age(Core::Time now) const { return m_follower.configuration_age(now); }
 
-    /// A backend server was found to be another than the list says: the list is read again soon.
+    /// A backend server differs repeatedly from its entry in the list: reads the list again soon.
     void on_servers_doubted() { m_follower.on_servers_doubted(); }
 
-    /// An engine holds a version that nothing else has told of.
+    /// Takes as named a version that an engine holds and that neither the log nor another entry has reported.
     void on_shown_version(std::string const& model, int64_t version);
 
-    /// Another entry has a new link: what was asked over the one before may be gone with it.
+    /// Requests facts again from an entry with a new link, as far as they are needed: requests over the previous link may be lost.
     void on_entry_linked(std::string const& entry);
+    /// Answers another entry's request with the facts that it lacks.
     void on_request(std::string const& entry, Schema::FactRequest const&);
+    /// Applies the facts that another entry sent.
     void on_batch(std::string const& entry, Schema::FactBatch const&);
-    /// Another entry has read the operator's records up to this offset, and goes by this version of the configuration.
+    /// Another entry reports how far it has read the operator's records, and the version of its configuration. Requests the missing
+    /// facts from it, at most once a second, if this entry has been behind for long enough.
+    /// @param configuration_end the offset after the last record that it has read.
     void on_peer_end(std::string const& entry, int64_t configuration_end, std::optional<int64_t> configuration_version);
-    /// The version of the configuration that this entry goes by, if any.
+    /// Version of the configuration in force here; std::nullopt before one was read.
     std::optional<int64_t> configuration_version() const;
 
 private:
@@ -93,17 +103,20 @@
     Platform::BadRecords m_bad_records;
     Callbacks m_callbacks;
     Core::PauseWatch m_pauses;
+    // Set from the end of a pause until the facts are current again.
     std::optional<Core::Time> m_woke_at;
-    // Since then another entry has told what it knows.
+    // Whether another entry has sent facts since m_woke_at.
     bool m_has_heard_peer { false };
     Configuration::FactReplica m_replica;
     Platform::FactFollower m_follower;
     Platform::KeptVersions m_kept;
+    // Topics whose reads fail at present.
     std::set<Configuration::FactTopic> m_failing;
-    // Entries that were asked what they know of versions, since the start or since the log answers again.
+    // Number of entries asked for their known versions since the start, the last pause, or the log's recovery.
     int m_asked_for_versions { 0 };
-    // Since when others are known to have read further.
+    // Since when another entry is known to have read further.
     std::optional<Core::Time> m_behind_since;
+    // When an entry that had read further was last asked.
     Core::Time m_asked_at { 0 };
     Platform::AskedPeers m_asked;
 };
--- a/Services/DirectEntry/EntryWeights.cpp
+++ b/Services/DirectEntry/EntryWeights.cpp
@@ -7,7 +7,7 @@
 namespace DirectEntry {
 
 static constexpr double bytes_per_megabit = 125000;
-// The rest is left to callers and backend servers.
+// Fraction of the network link that weights may use; the rest is left to callers and backend servers.
 static constexpr double weights_part_of_link = 0.75;
 
 static WeightsCacheSettings cache_settings(Schema::DirectEntrySettings const& settings)
@@ -68,7 +68,7 @@
 Weights::CopySources EntryWeights::sources() const
 {
     Weights::CopySources sources;
-    // One that is gone reads nothing for the others: only those that are linked are counted on.
+    // An entry that terminated reads nothing for the others, so only linked entries count as caches.
     sources.caches = m_context.hub.peers(Schema::Role::Entry);
     sources.caches.push_back(m_context.settings.identity);
     sources.near.push_back(m_context.settings.identity);
--- a/Services/DirectEntry/EntryWeights.h
+++ b/Services/DirectEntry/EntryWeights.h
@@ -12,7 +12,7 @@
 
 namespace DirectEntry {
 
-/// What of the entry the keeping of weights goes by. All of it outlives the keeper.
+/// The parts of the entry that EntryWeights uses. All of them must outlive it.
 struct EntryWeightsContext {
     Schema::DirectEntrySettings const& settings;
     Transport::LinkHub& hub;
@@ -22,36 +22,44 @@
     Routing::FollowedEngines const& followed;
 };
 
-/// The copies that this entry keeps for agents: decides whether a version is still wanted and who is told of its chunks.
+/// Connects the entry's weights cache with its links and engines: decides whether a version is still needed by engines, and announces
+/// the cached chunks to agents in this region and to other entries.
+///
+/// An entry follows an engine while it keeps a link to the engine's agent; it knows the versions of followed engines only.
 class EntryWeights {
 public:
     EntryWeights(Core::EventLoop&, EntryWeightsContext, Core::Metrics&, Platform::WeightOrigin&);
 
+    /// Brings the cached copy to the goal's version, which was named at `named_at`.
     void set_goal(Schema::WeightsGoal const& goal, Core::Time named_at) { m_cache.set_goal(goal, named_at); }
-    /// Whether the service has engines that this entry follows, and none of them serves the version or a newer one.
+    /// Whether this entry follows engines of the goal's service, and none of them serves the goal's version or a newer one.
     bool is_lost(Schema::WeightsGoal const&) const;
+    /// Reads again which entries a copy may be fetched from. To be called when entries come or go.
     void update_sources() { m_cache.update_sources(); }
+    /// A peer announced which chunks it holds.
     void on_peer_pieces(std::string const& peer, Schema::PieceMap const& map) { m_cache.on_peer_pieces(peer, map); }
     void on_peer_down(std::string const& peer) { m_cache.on_peer_down(peer); }
 
-    /// Tells a peer that has just come what is held here, if it is one that reads here.
+    /// Announces the chunks held here to a newly linked peer if it may fetch them: any entry, or a followed agent in this region.
     void tell_held(Schema::Hello const& peer);
 
-    /// Answers a request for a chunk or a manifest. @return false if it is for neither.
+    /// Answers an HTTP request for a chunk or a manifest. @return false if it is for neither and was not answered.
     bool serve(std::shared_ptr<Transport::HttpExchange> const& exchange) { return m_cache.serve(exchange); }
 
 private:
     WeightsCache::Callbacks callbacks();
     bool is_in_region(std::string const& failure_domain) const;
-    /// Whether an engine that this entry follows lacks the version; the others are known to entries nearer to them.
+    /// Whether an engine that this entry follows serves an older version. Other engines are followed by entries nearer to them.
     bool is_wanted(std::string const& service, int64_t version) const;
-    /// The engines of a service that this entry follows and that stay.
+    /// The engines of a service that this entry follows and that are not draining.
     std::vector<Schema::BackendServer const*> followed_servers(std::string const& service) const;
     Weights::CopySources sources() const;
     /// Identities of the agents in this region that this entry follows.
     std::set<std::string> near_agents() const;
     bool is_near(std::string const& entry) const;
+    /// Sends to the entries and followed agents in this region.
     void announce(Schema::PieceMap const&);
+    /// Sends to the entries of other regions.
     void announce_far(Schema::PieceMap const&);
 
     EntryWeightsContext m_context;
--- a/Services/DirectEntry/GoalTeller.cpp
+++ b/Services/DirectEntry/GoalTeller.cpp
@@ -20,7 +20,7 @@
     std::map<std::string, std::string> domains;
     for (auto const* server : m_facts.servers()) {
         auto const ip = Transport::split_address(server->address).first;
-        // Of two entries at one address the one that is in use tells where it is.
+        // Of two list items with the same address, the one that is not draining gives the failure domain.
         if (!server->is_draining || !domains.contains(ip))
             domains[ip] = server->failure_domain;
     }
@@ -31,7 +31,7 @@
 {
     News news;
     for (auto goal : goals) {
-        // One that is not listed yet chooses its peers by its own settings.
+        // An agent whose engine is not listed yet chooses its peers by its own settings.
         if (domain)
             goal.peers = Distribution::peer_group(goal.peers, *domain, m_regions);
         Schema::Message message;
--- a/Services/DirectEntry/GoalTeller.h
+++ b/Services/DirectEntry/GoalTeller.h
@@ -11,35 +11,38 @@
 
 namespace DirectEntry {
 
-/// Tells agents what their engines are to hold, each with the peers that it works with, and again once that is news.
+/// Sends agents the weights goals: for each service the version that its engines are to hold, and the peers to exchange chunks with.
+///
+/// The peers depend on the failure domain of the agent's engine, so the goals are computed once per domain, and sent again only when
+/// they change.
 class GoalTeller {
 public:
-    /// @param regions the region of each failure domain.
+    /// @param regions the region of each failure domain. All three arguments must outlive this object.
     GoalTeller(Transport::LinkHub&, Configuration::FactReplica const&, std::map<std::string, std::string> const& regions);
 
-    /// Tells an agent that has just come.
+    /// Sends the goals to a newly linked agent, whether or not they changed.
     void tell(std::string const& agent, std::vector<Schema::WeightsGoal> const& goals);
-    /// Tells each linked agent to which it is news.
+    /// Sends the goals to each linked agent for whose domain they differ from those sent last.
     void tell_all(std::vector<Schema::WeightsGoal> const& goals);
 
 private:
-    /// Nothing for an agent whose engine is not listed yet.
+    /// A failure domain; std::nullopt for an agent whose engine is not in the list of backend servers yet.
     using Domain = std::optional<std::string>;
 
     struct News {
         std::vector<Schema::Message> messages;
-        /// The same as one text but for the age of the goals, which alone is no news.
+        /// The goals as one text for comparison, without their ages: a changed age alone is not sent.
         std::string text;
     };
 
-    /// The failure domains of the agents whose engines are listed.
+    /// Failure domain of each listed engine, by the IP address of its agent.
     std::map<std::string, std::string> domains() const;
     News news_for(Domain const&, std::vector<Schema::WeightsGoal> const& goals) const;
 
     Transport::LinkHub& m_hub;
     Configuration::FactReplica const& m_facts;
     std::map<std::string, std::string> const& m_regions;
-    // What the agents of a domain were told last.
+    // The goals that the agents of a domain were sent last, as text.
     std::map<Domain, std::string> m_told;
 };
 
--- a/Services/DirectEntry/PeerAbilities.cpp
+++ b/Services/DirectEntry/PeerAbilities.cpp
@@ -48,7 +48,7 @@
         if (known == m_answers.end())
             return;
         if (!answer.has_value()) {
-            // It is asked again when there is something to tell it next.
+            // The query is repeated when the next message is to be sent to this entry.
             m_answers.erase(known);
             return;
         }
--- a/Services/DirectEntry/PeerAbilities.h
+++ b/Services/DirectEntry/PeerAbilities.h
@@ -10,23 +10,26 @@
 
 namespace DirectEntry {
 
-/// Which other entries understand messages about crashes. Builds that do not know them end the link that one comes over, and a link
-/// cannot ask: they end it at any member that they do not know. So an entry is asked over HTTP, on its address for metrics, where such
-/// builds answer with their metrics whatever they are asked. It is asked once, when there is something to tell it.
+/// Determines which other entries accept the newer messages about crashes and refused requests.
+///
+/// Older builds close a link when they receive a message with a member that they do not know, so a question over the link would close
+/// it too. Each entry is therefore queried over HTTP at its metrics port, where older builds answer any path with their metrics.
+/// An entry is queried when the first such message is to be sent over its link, and again only if the query failed.
 class PeerAbilities {
 public:
-    /// The path under which an entry tells what it understands, and what it answers there.
+    /// HTTP path of the capabilities query.
     static constexpr std::string_view path = "/understands";
+    /// The body of this build's answer to the query, as JSON.
     static std::string answer();
 
-    /// `port`: that of the entries' metrics; without one, all entries are taken to understand. `learned` is called for each entry that
-    /// turns out to.
+    /// @param port the metrics port of all entries; if it is std::nullopt, all entries are assumed to accept the messages.
+    /// @param learned called for each entry whose answer shows that it accepts them.
     PeerAbilities(Core::EventLoop&, std::optional<int64_t> port, std::function<void(std::string const& entry)> learned);
 
-    /// Whether the entry is known to understand. Where that is not known yet, it is asked.
+    /// Whether the entry is known to accept the messages. If that is unknown, returns false and queries the entry.
     bool understands(std::string const& entry);
 
-    /// Its link is gone: another build may be there next.
+    /// Drops the answer of an entry whose link is down: it may come back with another build.
     void forget(std::string const& entry);
 
 private:
--- a/Services/DirectEntry/ProxiedRequest.cpp
+++ b/Services/DirectEntry/ProxiedRequest.cpp
@@ -26,12 +26,13 @@
 static constexpr int status_gateway_timeout = 504;
 
 static constexpr Core::Duration default_wait { 30000 };
-// The way of a first event from here to the caller, and what a prediction misses in the middle.
+// Allowance for the time that a first event takes from here to the caller, and for the median error of a prediction.
 static constexpr Core::Duration answer_margin { 20 };
 static constexpr Core::Duration connect_timeout { 300 };
 static constexpr Core::Duration least_silence { 900 };
 static constexpr double silence_per_objective = 2.5;
-// Where a backend server answers others, a request waits behind them: to send it elsewhere would only add to the load.
+// Factor on the silence limit while the server answers other requests: this one waits behind them, and sending it elsewhere would only
+// add to the load.
 static constexpr int64_t patience_with_answering = 2;
 static constexpr Core::Duration retry_when_unready { 300 };
 static constexpr size_t most_unread_bytes = size_t { 1 } << 20;
@@ -116,7 +117,7 @@
 void ProxiedRequest::refuse_denied(Routing::RouteDenial denial)
 {
     if (denial != Routing::RouteDenial::BlockedRoute && m_context.is_stale()) {
-        // A newer configuration may allow it.
+        // A newer configuration, not received yet, may allow it.
         refuse(status_unavailable, Refusal::StaleConfiguration, retry_when_unready);
         return;
     }
@@ -146,7 +147,7 @@
     request.prompt_tokens = m_head.prompt_tokens;
     request.answer_tokens = m_head.answer_tokens_hint > 0 ? std::min(m_head.answer_tokens_hint, m_head.answer_tokens) : m_head.answer_tokens;
     request.terms = m_terms;
-    // A caller that hears nothing because this process stood still has lost none of its patience with the servers.
+    // A pause of this process must not count as a pause of the servers' answer.
     if (m_has_delivered)
         request.delivered_at = Core::monotonic_now() - (m_context.running_time() - m_delivered_running);
     return request;
@@ -179,7 +180,7 @@
         wait_for_place();
         return;
     }
-    // While an answer may still come, waiting for a better one is never in vain.
+    // While a silent server may still answer, waiting for another one costs nothing.
     if (m_silent.empty() && m_wait.is_hopeless(request, m_no_server, now))
         refuse_waiting(now);
 }
@@ -197,7 +198,7 @@
     return needs;
 }
 
-/// One that has started again since it was tried may be tried again, as far as the request may be sent again at all.
+/// Servers that were tried, except those that restarted since: a new incarnation may be tried as far as the request may be repeated.
 std::set<std::string> ProxiedRequest::tried_servers() const
 {
     std::set<std::string> tried;
@@ -215,7 +216,7 @@
     if (is_over() || refuse_if_blamed())
         return true;
     auto const now = Core::monotonic_now();
-    // Its time may have passed while the process stood still; then it is answered at the next look at the time.
+    // The deadline may have passed during a pause of the process; then the next tick refuses the request.
     bool const has_budget = m_silent.empty() || m_context.retries.has_left(m_service, now);
     if (!m_context.is_awake() || now >= deadline() || !m_suspected.may_send() || !has_budget) {
         m_no_server = Routing::NoServer::AllFull;
@@ -260,7 +261,7 @@
 {
     auto const* server = m_context.servers.find(choice.id);
     m_wait.on_sent(now);
-    // Beside a silent send it is paid for only now: without a place or a budget the silent one goes on.
+    // Beside an attempt at a silent server, the retry budget is spent only now: without a free slot or budget the silent one is kept.
     if (!m_silent.empty())
         m_context.retries.try_spend(m_service, now);
     if (m_sends + m_misses == 0)
@@ -273,7 +274,7 @@
     terms.server_id = choice.id;
     terms.customer = m_customer;
     terms.remaining = deadline() - now;
-    // An engine that turned to another version meanwhile refuses it; before the bound any whole version will do.
+    // An engine that has switched to another version refuses the request. While no version is required, any whole version will do.
     if (m_context.required_version(m_service))
         terms.expected_version = version;
     terms.last_event = m_last_event;
@@ -292,7 +293,7 @@
     call.connect_timeout = std::min(connect_timeout, terms.remaining);
     if (m_caller->head().method == "HEAD")
         call.body_expectation = Transport::BodyExpectation::None;
-    // The call ends with its send, so it never calls back for one that is gone.
+    // The attempt owns the call, so no callback outlives the attempt.
     auto* const send = m_send.get();
     m_send->call = Transport::BackendCall::start(m_context.loop, std::move(call),
         { .connected = [this, send] {
@@ -352,7 +353,7 @@
     bool has_gap = false;
     for (auto const& event : events) {
         auto const id = m_context.heads.event_id(event);
-        // An event that the caller has already is not passed on twice; one behind a gap is no part of this answer.
+        // An event that the caller already has is skipped; an event after a gap does not belong to this answer.
         if (id && m_last_event && *id <= *m_last_event)
             continue;
         has_gap = id && *id != m_last_event.value_or(*id - 1) + 1;
@@ -439,7 +440,7 @@
     finish(Refusal::None, send.answer().status);
 }
 
-/// Statuses that promise that nothing ran. A backend server that ran the request must not make that promise through us.
+/// Whether callers take the status to mean that nothing ran. Such a status from a backend server that ran the request is not passed on.
 static bool promises_not_run(int status)
 {
     return status == status_unavailable || status == status_too_many || status == status_request_timeout || status == status_misdirected;
@@ -448,7 +449,7 @@
 void ProxiedRequest::on_failure_status(ServerSend& send)
 {
     if (send.answer().status < status_server_error && !promises_not_run(send.answer().status)) {
-        // The request itself is at fault: the answer stands.
+        // The request itself is invalid: the server's answer is final.
         pass_whole_answer(send);
         return;
     }
@@ -467,8 +468,8 @@
         on_broken_off(send);
 }
 
-/// A server that ended speaks against what it ran, and is no attempt that the caller had; a cut connection says nothing of either.
-/// The answer to this comes after one way there and back.
+/// Determines by a connection attempt, which takes one round trip, whether the server has terminated. If so, the request becomes a
+/// suspect and the attempt does not count against the route's limit. A cut connection alone means neither.
 void ProxiedRequest::on_broken_off(ServerSend& send)
 {
     send.call.reset();
@@ -499,19 +500,19 @@
     end_send(send, SendEnd::BrokenOff, m_context.servers.is_switching(send.target().id, Core::monotonic_now()) ? ServerOutcome::Neutral : ServerOutcome::Failure);
 }
 
-// Sends whose servers are silent.
+// Attempts at silent servers.
 
 bool ProxiedRequest::is_silent(ServerSend const& send) const
 {
     return std::any_of(m_silent.begin(), m_silent.end(), [&](auto const& silent) { return silent.get() == &send; });
 }
 
-/// Looks for another server, and keeps the silent one's answer: it may come after all, and until another one has begun its own
-/// there is nothing better for the caller.
+/// Tries another server beside the silent one, whose call is kept: its answer may still come, and until another server has begun to
+/// answer there is nothing better for the caller.
 void ProxiedRequest::look_beside_silent(Core::Time now)
 {
     if (m_suspected.standing() != Routing::CrashStanding::Clear) {
-        // Of a request that may end its servers no two copies run.
+        // No two copies run of a request that may terminate its servers.
         end_send(*m_send, SendEnd::Silent, ServerOutcome::Unreachable);
         return;
     }
@@ -526,7 +527,7 @@
     send_again();
 }
 
-/// The answer that the caller gets is this send's: all others end.
+/// Makes this attempt the one whose answer the caller gets, and ends all others.
 void ProxiedRequest::go_on_with(ServerSend& send)
 {
     if (is_current(send) && m_silent.empty())
@@ -548,10 +549,10 @@
     m_phase = Phase::Sent;
 }
 
-/// Where no other server could go on with the answer, the last silent one still may.
+/// Returns to the last attempt at a silent server, if any, as no other server could be tried with success.
 bool ProxiedRequest::return_to_silent()
 {
-    // One whose answer broke off only waits for the word whether its server has ended.
+    // An attempt without a call has broken off, and only waits until it is known whether its server has terminated.
     auto const last = std::find_if(m_silent.rbegin(), m_silent.rend(), [](auto const& send) { return send->call != nullptr; });
     if (last == m_silent.rend())
         return false;
@@ -573,7 +574,7 @@
     }
 }
 
-/// A silent send is over; whatever was begun beside it goes on.
+/// Ends an attempt at a silent server; the current attempt or wait continues.
 void ProxiedRequest::end_silent_send(ServerSend& send, SendEnd end, ServerOutcome outcome)
 {
     auto const now = Core::monotonic_now();
@@ -587,7 +588,8 @@
         { { "request", m_head.request_id }, { "server", ended->target().id }, { "end", Routing::send_end_name(end) }, { "after_ms", milliseconds(now - ended->sent_at()) } });
 }
 
-/// What the request is told by from others, whatever its id. What a server runs is given by these, and not by the key.
+/// The parts that the digest covers: they identify what a server runs. The request id is not among them, and the key only if the
+/// customer is unknown.
 Routing::RequestContent ProxiedRequest::content() const
 {
     std::string_view caller;
@@ -620,7 +622,7 @@
     return state;
 }
 
-/// What ran nothing, or ended with its server, is no attempt of the route's.
+/// Attempts that ran nothing, or whose server terminated, do not count against the route's limit of attempts.
 void ProxiedRequest::count_end(SendEnd end)
 {
     if (end == SendEnd::NotConnected || end == SendEnd::NotRun)
@@ -642,7 +644,7 @@
     leave_server(outcome, now);
     if (outcome == ServerOutcome::Misdirected && m_context.servers.is_doubtful(m_send->target().id))
         m_context.list_doubted();
-    // One that was only full may have room by the time that another is wanted.
+    // A server that was only full may have a free slot when the request is sent again.
     if (outcome != ServerOutcome::Full)
         m_tried[m_send->target().id] = m_send->target().started_at_ms;
     bool const is_miss = end == SendEnd::NotConnected || end == SendEnd::NotRun;
@@ -665,7 +667,7 @@
     switch (step) {
     case NextStep::SendAgain:
     case NextStep::Resume:
-        // A call that never connected did not arrive anywhere, so it costs nothing.
+        // An attempt that never connected reached no server, so its repetition spends no retry budget.
         if (!m_silent.empty() || end == SendEnd::NotConnected || m_context.retries.try_spend(m_service, Core::monotonic_now())) {
             send_again();
             return;
@@ -744,7 +746,7 @@
         look_beside_silent(now);
 }
 
-/// A server that begins now would begin on a version that is too old for it.
+/// Whether the server has not begun to answer and holds a version older than the required one, and the request may be repeated.
 bool ProxiedRequest::is_outdated(ServerSend const& send, Core::Time now) const
 {
     if (send.has_event() || send.target().version == 0)
@@ -777,7 +779,7 @@
         return;
     }
     if (m_no_server == Routing::NoServer::NoneUsable) {
-        // No place becomes free: engines have to come, or to be loaded.
+        // No slot can become free until engines are added or have loaded their weights.
         refuse(status_unavailable, Refusal::NoServer, longest_retry_after);
         return;
     }
@@ -795,7 +797,7 @@
     finish(refusal, status);
 }
 
-/// A caller that still has time may ask again, here or at another entry.
+/// Records the refusal: a caller whose deadline has not passed may send the request again, here or at another entry.
 void ProxiedRequest::remember_caller()
 {
     bool const was_admitted = !m_service.empty();
@@ -816,13 +818,13 @@
     if (!is_this || m_suspected.standing() != Routing::CrashStanding::Blamed)
         return;
     m_may_have_run = m_may_have_run || (is_at_server() && m_send->is_connected());
-    // A server that has not begun it yet drops it with its connection.
+    // A server that has not begun the request drops it when its connection closes.
     end_call();
     refuse_if_blamed();
 }
 
-/// A caller is told at once, and not to come back: an answer that promises that nothing ran would have it come again, and one that
-/// finds fault with the request's form would be wrong.
+/// The caller is refused at once, by a status that does not invite a repetition: one that says that nothing ran would make the caller
+/// send the request again, and one that calls the request malformed would be wrong.
 bool ProxiedRequest::refuse_if_blamed()
 {
     if (m_suspected.standing() != Routing::CrashStanding::Blamed)
--- a/Services/DirectEntry/ProxiedRequest.h
+++ b/Services/DirectEntry/ProxiedRequest.h
@@ -17,8 +17,11 @@
 
 namespace DirectEntry {
 
-/// One caller's request, from its head to its single final answer. It reads from top to bottom:
-/// admitted, waiting for a place, sent, answered, or sent again; and then over.
+/// One caller's request, from its head to its single final answer.
+///
+/// The request is admitted or refused, waits for a slot at a backend server, and is sent there. If the attempt fails it is sent again
+/// where that is allowed. An attempt whose server is silent (no bytes received for the silence limit) is kept while another server
+/// is tried; the first attempt that continues the answer ends the others.
 class ProxiedRequest : public std::enable_shared_from_this<ProxiedRequest> {
 public:
     ProxiedRequest(RequestContext&, std::shared_ptr<Transport::IngressRequest>, uint64_t number);
@@ -26,20 +29,21 @@
     ProxiedRequest(ProxiedRequest const&) = delete;
     ProxiedRequest& operator=(ProxiedRequest const&) = delete;
 
-    /// Admits the request, or refuses it at once.
+    /// Admits the request and sends or queues it, or refuses it at once.
     void begin();
 
-    /// Offered a place: sends it if there is a backend server for it now.
-    /// @return false if there is none.
+    /// Sends the request if a backend server can be had for it now.
+    /// @return false if there is none and the request still waits; true if it was sent or is over.
     bool try_send();
 
-    /// Looks at the time: deadlines, silence, waiting too long.
+    /// Checks deadlines, silent servers and the time spent waiting. To be called every few tens of milliseconds.
     void tick(Core::Time now);
 
-    /// The process ends: what is not over by now is broken off.
+    /// The process is about to exit: refuses the request, or aborts its answer if part of it was delivered.
     void give_up();
 
-    /// A request is blamed for ending servers: if it is this one, it ends now.
+    /// The request with this digest was blamed, as backend servers kept terminating while they ran it. Refuses this request if the
+    /// digest is its own.
     void on_blamed(std::string const& digest);
 
     uint64_t number() const { return m_number; }
@@ -50,7 +54,7 @@
         Admitting,
         Waiting,
         Sent,
-        /// The answer broke off, and the server is asked whether it has ended.
+        /// The answer broke off, and a connection attempt determines whether the server has terminated.
         Asking,
         Over,
     };
@@ -124,34 +128,37 @@
     int64_t m_priority { 0 };
     int64_t m_configuration_version { 0 };
 
-    // The send under way, or the last one; null before the first.
+    // The current attempt, or the last one; null before the first.
     std::shared_ptr<ServerSend> m_send;
-    // Sends whose servers fell silent while another one is looked for: the first whose answer goes on ends the others.
+    // Attempts at silent servers, kept while another server is tried: the first whose answer continues ends the others.
     std::vector<std::shared_ptr<ServerSend>> m_silent;
 
-    // Over all sends.
-    // Backend servers that it was sent to, each with the start of the last such incarnation.
+    // Over all attempts:
+    // Backend servers that it was sent to, each with the start time of the last incarnation that was tried, Unix milliseconds.
     std::map<std::string, std::optional<int64_t>> m_tried;
+    // Attempts that reached a server, without those that the server reported as not run and those whose server terminated.
     int64_t m_sends { 0 };
+    // Attempts that ended as not connected or not run.
     int64_t m_misses { 0 };
-    // Sends to servers that ended.
+    // Attempts at servers that terminated meanwhile.
     int64_t m_ended_servers { 0 };
     SuspectedRequest m_suspected;
     bool m_may_have_run { false };
     bool m_has_delivered { false };
     std::optional<int64_t> m_last_event;
     std::optional<Core::Duration> m_server_retry_after;
-    // When the caller first asked, as far as is known.
+    // When the caller first sent this request, also to another entry that refused it, as far as is known.
     Core::Time m_first_asked { 0 };
     Routing::AnswerTerms m_terms;
     Routing::PlaceWait m_wait;
-    // Why the last try found no backend server.
+    // Why no backend server could be chosen last.
     Routing::NoServer m_no_server { Routing::NoServer::NoneUsable };
     std::optional<Core::Duration> m_first_event_after;
-    // When events went to the caller last, and the longest time between two of these moments.
+    // When events were last delivered to the caller, by the steady clock.
     Core::Time m_delivered_at { 0 };
-    // The former by the clock that leaves out the time in which the process stood still.
+    // The same by the running-time clock, which leaves out pauses of the process.
     Core::Time m_delivered_running { 0 };
+    // Longest time between two deliveries.
     Core::Duration m_longest_pause { 0 };
 };
 
--- a/Services/DirectEntry/Refusal.h
+++ b/Services/DirectEntry/Refusal.h
@@ -7,33 +7,41 @@
 
 namespace DirectEntry {
 
-/// Why a request ended as it did. Each has a counter and stands in the log.
+/// Why a request ended without a complete answer; None if it was answered. Each reason is counted in a metric and logged.
 enum class Refusal {
     None,
     NoConfiguration,
     NoRoute,
     UnknownKey,
     StaleConfiguration,
-    /// What the configuration says of the route or of the customers could not be read.
+    /// The part of the configuration that describes the route or the customers could not be read.
     UnreadableConfiguration,
+    /// No backend server of the service can serve.
     NoServer,
+    /// No slot at a backend server became free, or none is expected in time.
     NoPlace,
     QueueFull,
+    /// All attempts failed before a backend server ran the request.
     NotRunAnywhere,
+    /// The request may have run, and no answer can be given.
     OutcomeUnknown,
     ServerFailure,
+    /// The answer broke off after part of it was delivered, and cannot be resumed.
     BrokenOff,
-    /// Servers end that run it.
+    /// The request is blamed: backend servers kept terminating while they ran it.
     EndsServers,
     DeadlinePassed,
     CallerGone,
     CallerTooSlow,
+    /// This process is about to exit.
     Stopping,
 };
 
+/// The reason's name in metrics, logs and problem types.
 char const* refusal_name(Refusal);
 
-/// The body of an answer that refuses a request.
+/// The problem document that is the body of a refusing answer.
+/// @param retry_after when the caller should try again; std::nullopt to name no time.
 Schema::Problem refusal_problem(Refusal, int status, Schema::Outcome, std::optional<Core::Duration> retry_after);
 
 }
--- a/Services/DirectEntry/RequestContext.h
+++ b/Services/DirectEntry/RequestContext.h
@@ -18,7 +18,7 @@
 
 namespace DirectEntry {
 
-/// What all requests of an entry share.
+/// The objects and callbacks that all requests of an entry share. The referenced objects outlive the requests.
 struct RequestContext {
     Core::EventLoop& loop;
     Core::Metrics& metrics;
@@ -28,27 +28,28 @@
     CrashWatch& crashes;
     std::mt19937_64& random;
     Routing::WaitingPolicy waiting;
-    /// Null until a configuration was read.
+    /// Null until a configuration has been read.
     std::shared_ptr<Routing::RouteTable const> routes;
-    /// True while what is believed of the configuration may be behind what is in force.
+    /// Whether the configuration read here may be out of date, as it was not known to be current for a while.
     std::function<bool()> is_stale;
-    /// False from a pause of the process until all was heard anew: nothing is sent meanwhile.
+    /// False after a pause of the process until the facts have been read again; no request is sent meanwhile.
     std::function<bool()> is_awake;
-    /// The earliest time at which a request can have come that is read now.
+    /// The earliest time at which a request that is read now can have arrived: after a pause of the process, the start of the pause.
     std::function<Core::Time()> arrival;
-    /// Now, by a clock that does not count the time in which the process stood still.
+    /// The current time by the running-time clock, which leaves out pauses of the process (Core::PauseWatch).
     std::function<Core::Time()> running_time;
-    /// The version that an engine of the service must serve by now, if any.
+    /// The version that an engine of the service must serve by now; std::nullopt while any whole version will do.
     std::function<std::optional<int64_t>(std::string const& service)> required_version;
-    /// The newest version that is named of the model of a service; 0 if none is.
+    /// The newest named version of the service's model; 0 if none is named.
     std::function<int64_t(std::string const& service)> newest_version;
     Routing::ReturningCallers& returning;
-    /// Those that wait for a service.
+    /// The queue of the requests that wait for a slot at the service.
     std::function<Routing::ServiceLine&(std::string const& service)> line;
-    /// A caller asked for something of the service.
+    /// Called once for each admitted request for the service.
     std::function<void(std::string const& service)> asked;
-    /// A backend server was not what the list says, and not for the first time.
+    /// Called when a backend server differs repeatedly from its entry in the list.
     std::function<void()> list_doubted;
+    /// Called once when the request with this number is over.
     std::function<void(uint64_t number)> over;
 };
 
--- a/Services/DirectEntry/ServerSend.h
+++ b/Services/DirectEntry/ServerSend.h
@@ -13,55 +13,62 @@
 
 namespace DirectEntry {
 
-/// One send of a request to a backend server, and what came back of it.
+/// One attempt: a request sent to one backend server, and the part of the answer that was received.
 class ServerSend : public std::enable_shared_from_this<ServerSend> {
 public:
-    /// The incarnation that the request is sent to.
+    /// The incarnation (one start of a backend server) that the request is sent to.
     struct Target {
         std::string id;
         std::string address;
-        /// Version that it holds; 0 for a plain service.
+        /// Version of the weights that it holds; 0 if it serves no model.
         int64_t version { 0 };
-        /// Its start, Unix milliseconds, if that is known.
+        /// Its start time, Unix milliseconds; std::nullopt if unknown.
         std::optional<int64_t> started_at_ms {};
     };
 
-    /// A moment by the steady clock, and by the one that leaves out the time in which the process stood still.
+    /// One moment on two clocks.
     struct Moment {
+        /// By the steady clock.
         Core::Time at { 0 };
+        /// By the running-time clock, which leaves out pauses of the process.
         Core::Time running { 0 };
     };
 
     ServerSend(Target, Moment sent);
 
     Target const& target() const { return m_target; }
-    /// Names the one start of the server that it was sent to.
+    /// The server's id and start time as `id@milliseconds`; just the id if the start time is unknown.
     std::string incarnation() const;
 
-    /// The call, until the send is over.
+    /// The call in flight; null once the attempt is over.
     std::unique_ptr<Transport::BackendCall> call;
 
     Core::Time sent_at() const { return m_sent_at; }
+    /// When bytes were last received, or the connection was established; the time of sending before that.
     Core::Time heard_at() const { return m_heard_at; }
     void on_heard(Moment);
-    /// Looks once a turn of the loop whether the server has said nothing for `patience`.
+    /// Whether nothing was received from the server for `patience`. To be called in each iteration of the event loop: silence counts
+    /// from the second call in a row on, as bytes that lay unread at the first have been read by then.
     bool look_for_silence(Core::Time running_now, Core::Duration patience) { return m_silence.look(running_now, patience); }
+    /// Running time since bytes were last received.
     Core::Duration silent_for(Core::Time running_now) const { return m_silence.lasts(running_now); }
 
     bool is_connected() const { return m_is_connected; }
     void on_connected(Moment);
 
+    /// Whether the head of the answer was received.
     bool has_head() const { return m_has_head; }
+    /// The head of the answer; empty until has_head().
     Platform::BackendHead const& answer() const { return m_answer; }
     void on_head(Platform::BackendHead, Moment);
 
-    /// Whether an event of it went to the caller: its answer has begun.
+    /// Whether an event of this attempt's answer was delivered to the caller.
     bool has_event() const { return m_has_event; }
     void on_event() { m_has_event = true; }
 
-    /// What came of an answer that is passed on whole.
+    /// The body received so far, of an answer that is passed on as a whole.
     std::string body;
-    /// What came of an answer that is passed on event by event.
+    /// Splits the body into events, of an answer that is passed on event by event.
     Routing::EventStream events;
 
 private:
--- a/Services/DirectEntry/SuspectedRequest.h
+++ b/Services/DirectEntry/SuspectedRequest.h
@@ -10,24 +10,30 @@
 
 namespace DirectEntry {
 
-/// What a request in hand has to do with servers that ended. Its digest is taken once it is needed: where nothing is suspected and
-/// no server ends, never.
+/// Applies the crash suspicions to one request in flight: whether it may be sent, where, and alone or not.
+///
+/// The digest that names the request is computed on first use only: never while there are no suspects and no server terminates.
 class SuspectedRequest {
 public:
+    /// @param content returns the parts of the request that its digest covers.
     SuspectedRequest(CrashWatch&, std::function<Routing::RequestContent()> content);
 
     std::string const& digest();
     bool is(std::string const& digest) { return this->digest() == digest; }
+    /// Whether the request is clear, suspected, must run alone, or is blamed (refused, as servers kept terminating while they ran it).
     Routing::CrashStanding standing();
-    /// Whether a copy may go out from this entry now.
+    /// Whether a copy of the request may be sent from this entry now. A suspect is sent one copy at a time.
     bool may_send();
-    /// Tells apart where the request may go: with others like it, or by itself.
+    /// Adds the servers to avoid or exclude: a clear request avoids servers that run a suspect alone, a suspect is not sent to them,
+    /// and one that must run alone is not sent to any server that runs a suspect, and prefers an idle one.
     void add_to(Routing::ServerNeeds&);
 
     void on_sent(std::string const& server);
+    /// The current attempt has ended, whatever its outcome.
     void on_send_over();
-    /// The server to which it was sent last ended while it ran the request.
+    /// The server of the current attempt terminated while it ran the request.
     void on_ended_under(std::string const& incarnation);
+    /// The request ran to completion: it is no suspect any more.
     void on_ran_to_end();
 
 private:
--- a/Services/DirectEntry/VersionGoals.cpp
+++ b/Services/DirectEntry/VersionGoals.cpp
@@ -8,10 +8,10 @@
 
 namespace DirectEntry {
 
-// A version is required a little before its bound: what is sent just before still has to begin.
+// A version is required this long before its time limit, as requests sent just before still have to begin.
 static constexpr Core::Duration version_margin { 1500 };
-// A version that nobody is known to have known before may be as old as the last read without it. Engines that are about to load
-// it get this long all the same: about as long as the platform counts an instance that was out of touch as such.
+// A version that was found without a known naming time may be as old as the last read that did not bring it. Engines still get this
+// long to load it: about as long as the platform counts an instance as out of contact after it lost contact.
 static constexpr Core::Duration found_grace { 2500 };
 
 std::vector<Schema::WeightsGoal> VersionGoals::goals(Core::Duration version_bound, Core::Time now) const
@@ -57,7 +57,7 @@
     return origin;
 }
 
-/// Streams may be cut only where every route to the service allows that they go on elsewhere.
+/// Streams may be cut only if every route to the service allows them to resume at another server.
 bool VersionGoals::may_evict(std::string const& service) const
 {
     auto const& routes = m_facts.configuration()->routes;
@@ -109,7 +109,7 @@
     auto const* versions = named(service);
     if (!versions)
         return {};
-    // Until the past is known, a version that was found may be one whose bound is over for long.
+    // Until the stored versions have been read, the time limit of a version that was found may have passed long ago.
     auto const found_by = m_knows_past() ? now - found_grace : now;
     auto const required = versions->newest_of(now - (version_bound - version_margin), found_by);
     if (required == 0)
--- a/Services/DirectEntry/VersionGoals.h
+++ b/Services/DirectEntry/VersionGoals.h
@@ -13,32 +13,39 @@
 
 namespace DirectEntry {
 
-/// What engines are to hold, by the configuration and the named versions, and from when on requests insist on it.
+/// Derives from the configuration and the named versions which version of its model's weights each service's engines are to hold, and
+/// which version requests require by now.
+///
+/// A version is named by a record of the operator in the platform's log. Engines may serve the previous version until the time limit
+/// of the settings (`version_bound`) after that has passed; requests require the new version from 1.5 s before this limit on.
 class VersionGoals {
 public:
-    /// `knows_past`: whether all that was remembered of versions before this process is known.
+    /// @param facts must outlive this object.
+    /// @param knows_past returns whether the versions that earlier processes stored have been read.
     VersionGoals(Configuration::FactReplica const& facts, std::function<bool()> knows_past)
         : m_facts(facts)
         , m_knows_past(std::move(knows_past))
     {
     }
 
-    /// The goal of each service whose engines serve a model, with the age of its version's name.
+    /// Returns the goal of each service whose engines serve a model. Empty before a configuration has been read.
+    ///
+    /// The age in a goal is the time since its version was named, as far as that is known; the version is 1 if none was named.
     std::vector<Schema::WeightsGoal> goals(Core::Duration version_bound, Core::Time now) const;
 
-    /// True if the version of a model's goal was named, and is not just the one of the start.
+    /// True if a version of the model was named; false if its goal is the initial version 1.
     bool is_named(std::string const& model) const { return m_facts.versions().contains(model); }
 
-    /// The model that a service's engines serve; nothing for a plain service.
+    /// The model that a service's engines serve; std::nullopt if the service is unknown or serves no model.
     std::optional<std::string> model_of(std::string const& service) const;
 
-    /// The newest version that is named of a service's model; 0 if none is.
+    /// The newest named version of a service's model; 0 if none is named.
     int64_t newest(std::string const& service) const;
 
-    /// The version that an engine of the service must serve by now, if any.
+    /// The version that an engine of the service must serve by now; std::nullopt while any version will do.
     std::optional<int64_t> required(std::string const& service, Core::Duration version_bound, Core::Time now) const;
 
-    /// Logs for each service from when on it requires which version, and by which date.
+    /// Logs each change of a service's required version, with the time since that version was named and found.
     void log_required(Core::Duration version_bound, Core::Time now);
 
 private:
@@ -50,7 +57,7 @@
 
     Configuration::FactReplica const& m_facts;
     std::function<bool()> m_knows_past;
-    // What was logged last of each service.
+    // The required version that was last logged, by service; 0 if none.
     std::map<std::string, int64_t> m_logged_required;
 };
 
--- a/Services/DirectEntry/WeightsCache.cpp
+++ b/Services/DirectEntry/WeightsCache.cpp
@@ -9,11 +9,11 @@
 namespace DirectEntry {
 
 static constexpr Core::Duration turn_interval { 50 };
-// An entry that has just started would be the only one that it knows of, and read all from the origin: after a loss of power
-// entries so read 2.4 copies instead of one. Within this it is linked to the others.
+// No transfer starts before this time has passed, in which a new entry is linked to the others. Without the wait it would know no
+// other entry and read the whole copy from the origin: after a power loss entries read 2.4 copies in all instead of one.
 static constexpr Core::Duration acquaintance { 500 };
 static constexpr size_t origin_fetches_in_flight = 2;
-// Few read from the origin, so that each chunk comes early and whole.
+// Few instances read from the origin, so that each chunk arrives early and whole.
 static constexpr size_t seeders = 4;
 static constexpr size_t uploads_at_once = 4;
 static constexpr size_t waiting_uploads = 128;
--- a/Services/DirectEntry/WeightsCache.h
+++ b/Services/DirectEntry/WeightsCache.h
@@ -20,41 +20,45 @@
     std::string identity;
     /// Port at which every instance serves chunks and manifests.
     uint16_t chunk_port { 0 };
-    /// Bandwidth that weights may take, bytes a second.
+    /// Bandwidth that uploads of weights may use, bytes per second.
     int64_t bytes_per_second { 0 };
 };
 
-/// A copy of each model's newest version, held by an entry while engines still want it, and of the one before it while
-/// some engine lacks that.
+/// Caches the weights of each model's newest version at an entry while engines still need them, and the previous version while some
+/// engine does not serve it yet.
 ///
-/// An engine's link carries what it receives and what it passes on to peers, so among engines alone a version takes
-/// twice the time that one copy needs on a link. An entry's link is wider: with a copy at each entry, one read from the
-/// origin in all and one brought to each region, the engines only receive.
+/// An engine's network link carries both what it receives and what it uploads to peers, so a transfer among engines alone takes
+/// twice the time that one copy needs on a link. An entry's network link is wider: with a copy at each entry, of which one in all is
+/// read from the origin and one is transferred to each region, the engines only receive.
 class WeightsCache {
 public:
     struct Callbacks {
-        /// To be told to the other entries and to the agents of this region.
+        /// Sends which chunks are held here to the entries and the agents of this region.
         std::function<void(Schema::PieceMap const&)> announce;
-        /// To be told to the entries of other regions.
+        /// Sends which chunks are held here to the entries of other regions.
         std::function<void(Schema::PieceMap const&)> announce_far;
-        /// Whether some engine of a service does not serve a version yet.
+        /// Whether some engine of a service serves an older version than this one.
         std::function<bool(std::string const& service, int64_t version)> is_wanted;
-        /// All entries that are known, this one included, and those of this region.
+        /// Returns all linked entries, and those of this region, each with this one included.
         std::function<Weights::CopySources()> sources;
     };
 
     WeightsCache(Core::EventLoop&, WeightsCacheSettings, Core::Metrics&, Platform::WeightOrigin&, Callbacks);
     ~WeightsCache();
 
+    /// Brings the copy of the goal's model to the goal's version, which was named at `named_at`.
     void set_goal(Schema::WeightsGoal const&, Core::Time named_at);
+    /// The entries that copies are fetched from have changed.
     void update_sources();
+    /// A peer announced which chunks of a model it holds.
     void on_peer_pieces(std::string const& peer, Schema::PieceMap const&);
     void on_peer_down(std::string const& peer);
 
-    /// What is held, for a peer that has just come.
+    /// Returns which chunks are held here, to be sent to a newly linked peer.
     std::vector<Schema::PieceMap> held() const;
 
-    /// Answers a request for a chunk or a manifest. @return false if it is for neither.
+    /// Answers an HTTP request for a chunk or a manifest, with status 404 if it is not held here.
+    /// @return false if it is for neither and was not answered.
     bool serve(std::shared_ptr<Transport::HttpExchange> const&);
 
 private:
@@ -66,7 +70,7 @@
 
     void turn();
     Copy& copy_of(std::string const& model);
-    /// Whether some engine of the copy's service does not serve a version yet.
+    /// Whether some engine of the copy's service serves an older version than this one.
     bool is_wanted(Copy const&, int64_t version) const;
     bool serve_chunk(std::shared_ptr<Transport::HttpExchange> const&, std::string const& digest);
 
@@ -76,7 +80,7 @@
     Platform::WeightOrigin& m_origin;
     Callbacks m_callbacks;
     Core::Time m_started_at;
-    // By model.
+    // Copies by model.
     std::map<std::string, Copy> m_copies;
     std::unique_ptr<Core::Timer> m_turn_timer;
 };
--- a/Services/DirectEntry/main.cpp
+++ b/Services/DirectEntry/main.cpp
@@ -11,7 +11,7 @@
 
 int main(int argc, char** argv)
 {
-    auto const command = Settings::parse_command(argc, argv, "The entry that callers reach: routes, limits and passes on their requests");
+    auto const command = Settings::parse_command(argc, argv, "Entry for callers: routes requests, applies limits and proxies them to backend servers");
     return Settings::run_process<Schema::DirectEntrySettings>(command, "mountbarrow-direct-entry", [](Core::EventLoop& loop, Schema::DirectEntrySettings const& settings) {
         DirectEntry::DirectEntry::PlatformParts parts;
         parts.facts.log = std::make_unique<PlatformAdapter::HttpFactLog>(loop, settings.platform_address, PlatformAdapter::expected_customer_keys(settings.platform_features.value_or(std::vector<std::string> {})));
