--- a/Services/DirectEntry/VersionGoals.cpp
+++ b/Services/DirectEntry/VersionGoals.cpp
@@ -10,8 +10,8 @@
 
 // A version is required this long before its time limit, as requests sent just before still have to begin.
 static constexpr Core::Duration version_margin { 1500 };
-// A version that was found without a known naming time may be as old as the last read that did not bring it. Engines still get this
-// long to load it: about as long as the platform counts an instance as out of contact after it lost contact.
+// A version that no entry is known to have known before may be as old as the last read that did not bring it. Engines still get this
+// long to load it: about as long as the platform counts an instance as out of contact.
 static constexpr Core::Duration found_grace { 2500 };
 
 std::vector<Schema::WeightsGoal> VersionGoals::goals(Core::Duration version_bound, Core::Time now) const
