--- a/Services/DirectEntry/ServerSend.h
+++ b/Services/DirectEntry/BackendAttempt.h
@@ -14,7 +14,7 @@
 namespace DirectEntry {
 
 /// One attempt: a request sent to one backend server, and the part of the answer that was received.
-class ServerSend : public std::enable_shared_from_this<ServerSend> {
+class BackendAttempt : public std::enable_shared_from_this<BackendAttempt> {
 public:
     /// The incarnation (one start of a backend server) that the request is sent to.
     struct Target {
@@ -34,7 +34,7 @@
         Core::Time running { 0 };
     };
 
-    ServerSend(Target, Moment sent);
+    BackendAttempt(Target, Moment sent);
 
     Target const& target() const { return m_target; }
     /// The server's id and start time as `id@milliseconds`; just the id if the start time is unknown.
@@ -45,11 +45,11 @@
 
     Core::Time sent_at() const { return m_sent_at; }
     /// When bytes were last received, or the connection was established; the time of sending before that.
-    Core::Time heard_at() const { return m_heard_at; }
-    void on_heard(Moment);
+    Core::Time last_received_at() const { return m_last_received_at; }
+    void on_bytes_received(Moment);
     /// Whether nothing was received from the server for `patience`. To be called in each iteration of the event loop: silence counts
     /// from the second call in a row on, as bytes that lay unread at the first have been read by then.
-    bool look_for_silence(Core::Time running_now, Core::Duration patience) { return m_silence.look(running_now, patience); }
+    bool check_silence(Core::Time running_now, Core::Duration silence_limit) { return m_silence.look(running_now, silence_limit); }
     /// Running time since bytes were last received.
     Core::Duration silent_for(Core::Time running_now) const { return m_silence.lasts(running_now); }
 
@@ -59,12 +59,12 @@
     /// Whether the head of the answer was received.
     bool has_head() const { return m_has_head; }
     /// The head of the answer; empty until has_head().
-    Platform::BackendHead const& answer() const { return m_answer; }
+    Platform::BackendHead const& answer_head() const { return m_answer_head; }
     void on_head(Platform::BackendHead, Moment);
 
     /// Whether an event of this attempt's answer was delivered to the caller.
-    bool has_event() const { return m_has_event; }
-    void on_event() { m_has_event = true; }
+    bool has_delivered_event() const { return m_has_delivered_event; }
+    void on_event_delivered() { m_has_delivered_event = true; }
 
     /// The body received so far, of an answer that is passed on as a whole.
     std::string body;
@@ -74,12 +74,12 @@
 private:
     Target m_target;
     Core::Time m_sent_at;
-    Core::Time m_heard_at;
+    Core::Time m_last_received_at;
     Routing::AnswerSilence m_silence;
     bool m_is_connected { false };
     bool m_has_head { false };
-    bool m_has_event { false };
-    Platform::BackendHead m_answer;
+    bool m_has_delivered_event { false };
+    Platform::BackendHead m_answer_head;
 };
 
 }
--- a/Services/DirectEntry/CrashWatch.h
+++ b/Services/DirectEntry/CrashDetector.h
@@ -22,7 +22,7 @@
 /// A request that is found to terminate the servers that run it is blamed: it is refused from then on. Routing::CrashSuspects
 /// decides which requests are suspected and blamed; this class does the input and output for it. Requests are named by their
 /// digest (Routing::request_digest), so that a repetition by the caller is recognised.
-class CrashWatch {
+class CrashDetector {
 public:
     struct Callbacks {
         /// Returns the identities of the other entries that this one has a link to.
@@ -34,10 +34,10 @@
     };
 
     /// @param records stores blamed requests across restarts; null if the platform offers no storage for this system's own records.
-    CrashWatch(Core::EventLoop&, std::string const& identity, std::unique_ptr<Platform::BlameRecords> records, Core::Metrics&, Callbacks);
+    CrashDetector(Core::EventLoop&, std::string const& identity, std::unique_ptr<Platform::BlameRecords> records, Core::Metrics&, Callbacks);
 
     /// Starts reading the blamed requests that earlier processes stored.
-    void start() { m_kept.read(); }
+    void start() { m_blame_store.read(); }
 
     Routing::CrashSuspects const& suspects() const { return m_suspects; }
 
@@ -45,13 +45,13 @@
     /// @param callback receives true if the connection is refused, so that no process listens there any more, or if the server was
     /// found terminated within the last 500 ms; it may then be called before this function returns. It receives false if the
     /// connection succeeds, and also if it times out: the server may be running behind a network partition.
-    void ask_whether_ended(std::string const& server, std::string const& address, std::function<void(bool has_ended)> callback);
+    void check_terminated(std::string const& server, std::string const& address, std::function<void(bool has_terminated)> callback);
 
     /// A server terminated while it ran the request, which becomes a suspect or is blamed.
-    /// @param incarnation the server's id and start time; see ServerSend::incarnation().
-    void on_ended_under(std::string const& incarnation, Routing::CrashSuspects::Run const&);
+    /// @param incarnation the server's id and start time; see BackendAttempt::incarnation().
+    void on_terminated_while_running(std::string const& incarnation, Routing::CrashSuspects::Run const&);
     /// The request ran to completion at some server: it is no suspect any more, here and at the other entries.
-    void on_ran_to_end(std::string const& digest);
+    void on_run_completed(std::string const& digest);
 
     /// The request is being sent to a server. If it is a suspect, the other entries are notified, as a suspect that runs alone must
     /// run nowhere else.
@@ -63,39 +63,39 @@
     /// Sends the current suspects, if any, to an entry that was just linked: it may know none of them.
     void on_entry_linked(std::string const& entry) const;
     /// Applies the suspects, runs and cleared requests that another entry sent.
-    void on_news(std::string const& entry, Schema::CrashNews const&);
+    void on_crash_news(std::string const& entry, Schema::CrashNews const&);
     /// The link to an entry is down: its runs of suspects no longer count.
-    void on_entry_gone(std::string const& entry) { m_suspects.on_peer_gone(entry); }
+    void on_entry_link_down(std::string const& entry) { m_suspects.on_peer_gone(entry); }
 
     /// Clears the request on the operator's order, here and at the other entries, so that it runs again.
     /// @return false if it is no suspect.
-    bool pardon(std::string const& digest);
+    bool clear_by_operator(std::string const& digest);
 
     void report_metrics() const;
 
 private:
-    struct Question {
+    struct TerminationCheck {
         std::unique_ptr<Transport::BackendCall> call;
         std::vector<std::function<void(bool)>> callbacks;
     };
 
-    void answer(std::string const& server, bool has_ended);
-    Schema::CrashNews& news();
-    void tell_news();
-    void note_blamed(std::vector<std::string> const& digests, char const* from);
+    void finish_check(std::string const& server, bool has_terminated);
+    Schema::CrashNews& pending_news();
+    void send_pending_news();
+    void report_blamed(std::vector<std::string> const& digests, char const* source);
     void clear(std::string const& digest, char const* reason);
 
     Core::EventLoop& m_loop;
     Core::Metrics& m_metrics;
     Callbacks m_callbacks;
     Routing::CrashSuspects m_suspects;
-    Platform::KeptBlames m_kept;
+    Platform::KeptBlames m_blame_store;
     // Connection attempts in progress, by server id.
-    std::map<std::string, Question> m_questions;
+    std::map<std::string, TerminationCheck> m_termination_checks;
     // Servers that were found terminated, by id, with the time of detection.
-    std::map<std::string, Core::Time> m_ended;
+    std::map<std::string, Core::Time> m_terminated_at;
     // Collects what is sent to the other entries in the next iteration of the event loop.
-    std::optional<Schema::CrashNews> m_news;
+    std::optional<Schema::CrashNews> m_pending_news;
 };
 
 }
--- a/Services/DirectEntry/DirectEntry.cpp
+++ b/Services/DirectEntry/DirectEntry.cpp
@@ -15,21 +15,21 @@
 static constexpr Core::Duration tick_interval { 20 };
 // Waiting requests of services without a free slot are offered one only every so many ticks: why there is none changes more slowly
 // than slots become free.
-static constexpr int turns_by_offer_without_place = 5;
+static constexpr int ticks_per_offer_without_slot = 5;
 static constexpr Core::Duration link_check_interval { 500 };
-static constexpr int link_checks_by_sharing = EngineSharing::interval / link_check_interval;
+static constexpr int link_checks_per_sharing = EngineSharing::interval / link_check_interval;
 // A configuration older than this may be out of date: a newer one, not received yet, may allow a request that it denies.
 static constexpr Core::Duration stale_after { 4000 };
-static constexpr Core::Duration least_drain { 3000 };
+static constexpr Core::Duration min_drain_time { 3000 };
 static constexpr Core::Duration drain_margin { 500 };
 // Engine roles are reassigned soon after an entry or engine appears, but once for all that appear within this time.
-static constexpr Core::Duration least_roles_interval { 100 };
+static constexpr Core::Duration min_roles_interval { 100 };
 // Within this time a new entry is linked to a seed and has received the list of other entries from it, if the seed is up.
-static constexpr Core::Duration acquaintance { 2000 };
+static constexpr Core::Duration seed_link_time { 2000 };
 // After a pause of this length the peers have dropped their links to this process.
-static constexpr Core::Duration told_pause = Transport::LinkKeepAlive {}.silence;
+static constexpr Core::Duration link_losing_pause = Transport::LinkKeepAlive {}.silence;
 // Data that arrived in sockets during a pause is read within this time after it.
-static constexpr Core::Duration first_reads_after_pause { 100 };
+static constexpr Core::Duration pause_backlog_read_time { 100 };
 static constexpr size_t queue_limit = 256;
 static constexpr int status_ok = 200;
 static constexpr int status_not_found = 404;
@@ -86,16 +86,16 @@
     , m_heads(std::move(parts.heads))
     , m_origin(std::move(parts.origin))
     , m_facts(loop, settings.identity, std::move(parts.facts), follower_settings(settings.bounds), m_metrics, fact_callbacks())
-    , m_goals(m_facts.replica(), [this] { return m_facts.knows_kept_versions(); })
+    , m_goals(m_facts.replica(), [this] { return m_facts.has_read_stored_versions(); })
     , m_random(Core::stable_hash(settings.identity, std::to_string(Core::wall_now().count())))
     , m_sharing(settings.identity, settings.failure_domain)
     , m_followed({ settings.identity, settings.failure_domain, 0 }, settings.regions)
     , m_started_at(Core::monotonic_now())
     , m_servers(table_settings(settings), m_random())
     , m_retries(retry_bound(settings), Core::monotonic_now())
-    , m_abilities(loop, settings.metrics_port, [this](std::string const& entry) { m_crashes.on_entry_linked(entry); })
+    , m_capabilities(loop, settings.metrics_port, [this](std::string const& entry) { m_crashes.on_entry_linked(entry); })
     , m_crashes(loop, settings.identity, std::move(parts.blames), m_metrics, crash_callbacks())
-    , m_returning({ .entries = [this] { return m_hub->peers(Schema::Role::Entry); }, .send = sender_to_able_entries() })
+    , m_returning({ .entries = [this] { return m_hub->peers(Schema::Role::Entry); }, .send = sender_to_capable_entries() })
     , m_context { .loop = loop,
         .metrics = m_metrics,
         .heads = *m_heads,
@@ -103,19 +103,19 @@
         .retries = m_retries,
         .crashes = m_crashes,
         .random = m_random,
-        .waiting = waiting_policy(settings),
+        .waiting_policy = waiting_policy(settings),
         .routes = nullptr,
         .is_stale = [this] { return is_stale(); },
-        .is_awake = [this] { return m_facts.is_awake(); },
-        .arrival = [this] { return arrival(); },
+        .are_facts_current = [this] { return m_facts.is_current_after_pause(); },
+        .arrival_time = [this] { return arrival_time(); },
         .running_time = [this] { return m_facts.pauses().running_time(Core::monotonic_now()); },
-        .required_version = [this](std::string const& service) { return m_goals.required(service, version_bound(), Core::monotonic_now()); },
+        .required_version = [this](std::string const& service) { return m_goals.required(service, version_time_limit(), Core::monotonic_now()); },
         .newest_version = [this](std::string const& service) { return m_goals.newest(service); },
         .returning = m_returning,
-        .line = [this](std::string const& service) -> Routing::ServiceLine& { return m_lines.try_emplace(service, queue_limit).first->second; },
-        .asked = [this](std::string const& service) { m_sharing.on_asked(service); },
-        .list_doubted = [this] { m_facts.on_servers_doubted(); },
-        .over = [this](uint64_t number) { m_loop.soon([this, number] { m_requests.erase(number); }); } }
+        .service_queue = [this](std::string const& service) -> Routing::ServiceLine& { return m_service_queues.try_emplace(service, queue_limit).first->second; },
+        .request_admitted = [this](std::string const& service) { m_sharing.on_asked(service); },
+        .server_list_doubted = [this] { m_facts.on_servers_doubted(); },
+        .request_over = [this](uint64_t number) { m_loop.soon([this, number] { m_requests.erase(number); }); } }
 {
     Transport::LinkOptions options;
     options.identity = { settings.identity, Schema::Role::Entry, Core::wall_now().count() };
@@ -124,9 +124,9 @@
     options.list_version = [this] { return m_facts.replica().end(Configuration::FactTopic::BackendServers); };
     options.keep_alive.emplace();
     m_hub = std::make_unique<Transport::LinkHub>(loop, std::move(options), link_callbacks());
-    m_goal_teller = std::make_unique<GoalTeller>(*m_hub, m_facts.replica(), m_settings.regions);
-    keep_weights();
-    m_facts.pauses().on_woke(told_pause, [this](Core::Duration paused_for) { on_woke(paused_for); });
+    m_goal_publisher = std::make_unique<WeightsGoalPublisher>(*m_hub, m_facts.replica(), m_settings.regions);
+    create_weights_cache();
+    m_facts.pauses().on_woke(link_losing_pause, [this](Core::Duration paused_for) { handle_pause(paused_for); });
     m_tick_timer = loop.every(tick_interval, [this] { tick(); });
     m_link_timer = loop.every(link_check_interval, [this] { check_links(); });
 }
@@ -188,9 +188,9 @@
     Core::log_event(Core::LogLevel::Info, "link_up", { { "peer", hello.identity }, { "role", Schema::enumerator_name(hello.role) } });
     m_silent_peers.erase(hello.identity);
     if (hello.role == Schema::Role::Entry) {
-        m_hub->send(hello.identity, load_news());
+        m_hub->send(hello.identity, entry_load_message());
         // Requests that either entry sent over the previous link may be lost.
-        m_hub->send(hello.identity, news());
+        m_hub->send(hello.identity, log_position_message());
         m_facts.on_entry_linked(hello.identity);
         m_crashes.on_entry_linked(hello.identity);
         Schema::Message directory;
@@ -198,28 +198,28 @@
         directory.directory->entries = m_hub->peers(Schema::Role::Entry);
         m_hub->send(hello.identity, directory);
         if (m_known_entries.insert(hello.identity).second)
-            m_met_entries.insert(hello.identity);
+            m_new_entries.insert(hello.identity);
         m_servers.set_entries(m_known_entries.size() + 1);
         m_retries.set_entries(m_known_entries.size() + 1);
         if (m_weights)
-            m_weights->tell_held(hello);
+            m_weights->announce_held_to(hello);
         return;
     }
-    m_told_use.erase(hello.identity);
+    m_sent_engine_use.erase(hello.identity);
     if (m_weights)
-        m_weights->tell_held(hello);
-    m_goal_teller->tell(hello.identity, m_goals.goals(version_bound(), Core::monotonic_now()));
+        m_weights->announce_held_to(hello);
+    m_goal_publisher->publish_to(hello.identity, m_goals.goals(version_time_limit(), Core::monotonic_now()));
 }
 
 void DirectEntry::on_link_down(std::string const& identity)
 {
     Core::log_event(Core::LogLevel::Info, "link_down", { { "peer", identity } });
     m_sharing.on_peer_down(identity);
-    m_crashes.on_entry_gone(identity);
-    m_abilities.forget(identity);
+    m_crashes.on_entry_link_down(identity);
+    m_capabilities.forget(identity);
     if (m_known_entries.contains(identity))
         m_returning.on_outage(Core::monotonic_now());
-    m_told_use.erase(identity);
+    m_sent_engine_use.erase(identity);
     // An agent whose link was dropped for silence may still be running, and its last message remains valid until it expires.
     if (m_silent_peers.erase(identity) == 0)
         m_servers.on_agent_gone(identity);
@@ -231,21 +231,21 @@
 
 /// Data that waits in sockets when the process resumes may be as old as the pause is long. All links are dropped with their unread
 /// messages, as the peers have given them up by then. The facts are read again, and no request is sent until that is done.
-void DirectEntry::on_woke(Core::Duration paused_for)
+void DirectEntry::handle_pause(Core::Duration paused_for)
 {
     m_metrics.count("mountbarrow_wakes_total");
     Core::log_event(Core::LogLevel::Warn, "woke", { { "paused_ms", std::to_string(paused_for.count()) }, { "in_hand", std::to_string(m_requests.size()) } });
     m_hub->drop_all();
-    m_facts.on_woke();
+    m_facts.reread_after_pause();
 }
 
 /// Arrival time of a request that is read now: the start of the last pause if the request may have waited in its socket during it.
-Core::Time DirectEntry::arrival()
+Core::Time DirectEntry::arrival_time()
 {
     m_facts.pauses().look();
     auto const now = Core::monotonic_now();
     auto const pause = m_facts.pauses().last(now);
-    bool const may_have_waited = pause && now - pause->ended <= first_reads_after_pause;
+    bool const may_have_waited = pause && now - pause->ended <= pause_backlog_read_time;
     return may_have_waited ? pause->began : now;
 }
 
@@ -267,7 +267,7 @@
         if (is_new && m_weights)
             m_weights->update_sources();
         if (message.entry_load->configuration_end)
-            m_facts.on_peer_end(from.identity, *message.entry_load->configuration_end, message.entry_load->configuration_version);
+            m_facts.on_peer_log_position(from.identity, *message.entry_load->configuration_end, message.entry_load->configuration_version);
     } else if (message.pieces) {
         if (m_weights)
             m_weights->on_peer_pieces(from.identity, *message.pieces);
@@ -281,15 +281,15 @@
             update_links();
         }
     } else if (message.fact_request) {
-        m_facts.on_request(from.identity, *message.fact_request);
+        m_facts.on_fact_request(from.identity, *message.fact_request);
     } else if (message.facts) {
         m_facts.on_batch(from.identity, *message.facts);
     } else if (message.crash_news) {
-        m_crashes.on_news(from.identity, *message.crash_news);
+        m_crashes.on_crash_news(from.identity, *message.crash_news);
     } else if (message.refusals) {
         m_returning.on_news(from.identity, *message.refusals, now);
     } else if (message.ping && message.ping->configuration_end) {
-        m_facts.on_peer_end(from.identity, *message.ping->configuration_end, message.ping->configuration_version);
+        m_facts.on_peer_log_position(from.identity, *message.ping->configuration_end, message.ping->configuration_version);
     }
 }
 
@@ -303,41 +303,41 @@
         if (!model || version <= 1 || version <= m_goals.newest(server->service))
             continue;
         Core::log_event(Core::LogLevel::Warn, "version_shown_by_engine", { { "engine", ip }, { "model", *model }, { "version", std::to_string(version) } });
-        m_facts.on_shown_version(*model, version);
+        m_facts.on_version_seen_at_engine(*model, version);
         return;
     }
 }
 
 void DirectEntry::check_links()
 {
-    bool const shares_engines = ++m_link_checks % link_checks_by_sharing == 0;
-    if (shares_engines)
+    bool const is_sharing_due = ++m_link_checks % link_checks_per_sharing == 0;
+    if (is_sharing_due)
         m_sharing.end_interval();
-    auto const message = shares_engines ? load_news() : news();
+    auto const message = is_sharing_due ? entry_load_message() : log_position_message();
     for (auto const& identity : m_hub->peers(Schema::Role::Entry))
         m_hub->send(identity, message);
-    introduce_entries();
-    if (shares_engines)
+    announce_new_entries();
+    if (is_sharing_due)
         update_roles(Core::monotonic_now());
     update_links();
 }
 
 /// Announces new entries to the others. Of two entries only one connects to the other, so the others must know of an entry to which
 /// they are the ones to connect.
-void DirectEntry::introduce_entries()
+void DirectEntry::announce_new_entries()
 {
-    if (m_met_entries.empty())
+    if (m_new_entries.empty())
         return;
     Schema::Message message;
     message.directory.emplace();
-    message.directory->entries = { m_met_entries.begin(), m_met_entries.end() };
-    m_met_entries.clear();
+    message.directory->entries = { m_new_entries.begin(), m_new_entries.end() };
+    m_new_entries.clear();
     for (auto const& identity : m_hub->peers(Schema::Role::Entry))
         m_hub->send(identity, message);
 }
 
 /// Returns how far this entry has read the log, so that peers that are behind request the missing facts.
-Schema::Message DirectEntry::news() const
+Schema::Message DirectEntry::log_position_message() const
 {
     Schema::Message message;
     message.ping.emplace();
@@ -349,7 +349,7 @@
 }
 
 /// Returns this entry's request rates, and how far it has read the log.
-Schema::Message DirectEntry::load_news() const
+Schema::Message DirectEntry::entry_load_message() const
 {
     Schema::Message message;
     message.entry_load = m_sharing.load();
@@ -363,7 +363,7 @@
     if (!m_context.routes)
         return;
     m_roles_changed = false;
-    m_roles_at = now;
+    m_roles_updated_at = now;
     auto roles = m_sharing.roles(*m_context.routes, m_facts.replica(), m_servers, m_followed, now);
     m_used_engines.clear();
     for (auto const& [id, role] : roles) {
@@ -371,11 +371,11 @@
             m_used_engines.insert(Transport::split_address(server->address).first);
     }
     m_servers.set_roles(std::move(roles));
-    tell_engine_use();
+    send_engine_use();
 }
 
 /// Notifies agents whether this entry uses their engine: they send each load change at once only to the entries that do.
-void DirectEntry::tell_engine_use()
+void DirectEntry::send_engine_use()
 {
     // Several items of the backend server list may have the same IP address, and not all of them need be engines.
     std::map<std::string, bool> uses;
@@ -386,7 +386,7 @@
     for (auto const& [ip, is_used] : uses) {
         if (!m_followed.contains(ip) || !m_hub->is_up(ip))
             continue;
-        auto const [told, is_new] = m_told_use.try_emplace(ip, is_used);
+        auto const [told, is_new] = m_sent_engine_use.try_emplace(ip, is_used);
         if (!is_new && std::exchange(told->second, is_used) == is_used)
             continue;
         Schema::Message message;
@@ -424,7 +424,7 @@
             wanted[entry] = { entry, link_port };
     }
     // Seeds know entries of every region; the followed agents may not.
-    bool const is_new_here = now - m_started_at < acquaintance;
+    bool const is_new_here = now - m_started_at < seed_link_time;
     if (is_new_here || m_known_entries.empty() || !m_context.routes) {
         for (auto const& seed : m_settings.seeds.value_or(std::vector<std::string> {})) {
             auto const address = Transport::split_address(seed);
@@ -516,7 +516,7 @@
 
 // Weights.
 
-void DirectEntry::keep_weights()
+void DirectEntry::create_weights_cache()
 {
     if (!m_origin || !m_settings.metrics_port || !m_settings.link_megabits_per_second)
         return;
@@ -527,14 +527,14 @@
 void DirectEntry::send_goals()
 {
     auto const now = Core::monotonic_now();
-    auto const goals = m_goals.goals(version_bound(), now);
+    auto const goals = m_goals.goals(version_time_limit(), now);
     for (auto const& goal : goals) {
         // Most engines have the initial version on their instances already, and new ones fetch it from their peers. If all have
         // lost it, the entries must cache it, as agents wait for entries to read it from the origin.
-        if (m_weights && (m_goals.is_named(goal.model) || m_weights->is_lost(goal)))
+        if (m_weights && (m_goals.is_named(goal.model) || m_weights->is_missing_at_all_engines(goal)))
             m_weights->set_goal(goal, now - Core::Duration(goal.age_ms));
     }
-    m_goal_teller->tell_all(goals);
+    m_goal_publisher->publish_changed(goals);
 }
 
 bool DirectEntry::is_stale() const
@@ -558,19 +558,19 @@
 }
 
 /// Returns a sender for messages that older builds do not know and would close the link for; it skips entries of such builds.
-std::function<void(std::string const&, Schema::Message const&)> DirectEntry::sender_to_able_entries()
+std::function<void(std::string const&, Schema::Message const&)> DirectEntry::sender_to_capable_entries()
 {
     return [this](std::string const& entry, Schema::Message const& message) {
-        if (m_abilities.understands(entry))
+        if (m_capabilities.accepts_crash_messages(entry))
             m_hub->send(entry, message);
     };
 }
 
-CrashWatch::Callbacks DirectEntry::crash_callbacks()
+CrashDetector::Callbacks DirectEntry::crash_callbacks()
 {
     return {
         .entries = [this] { return m_hub->peers(Schema::Role::Entry); },
-        .send = sender_to_able_entries(),
+        .send = sender_to_capable_entries(),
         // Deferred, as the request whose attempt led to this is still handling the end of that attempt.
         .blamed = [this](std::string const& digest) { m_loop.soon([this, digest] {
                                                           auto const requests = m_requests;
@@ -580,13 +580,13 @@
     };
 }
 
-void DirectEntry::offer_places()
+void DirectEntry::offer_slots()
 {
     // A slot becomes free by an answer, an agent's report, a new server, or the passing of time. Each waiting request evaluates all
     // engines, so where none has a free slot, requests try only now and then, to learn why there is none.
-    bool const is_due = ++m_offers % turns_by_offer_without_place == 0;
+    bool const is_due = ++m_offer_ticks % ticks_per_offer_without_slot == 0;
     auto const now = Core::monotonic_now();
-    for (auto& [service, line] : m_lines) {
+    for (auto& [service, line] : m_service_queues) {
         if (line.queue.size() == 0 || (!is_due && !m_servers.has_place(service, now)))
             continue;
         line.queue.offer([this](uint64_t number) {
@@ -599,11 +599,11 @@
 void DirectEntry::tick()
 {
     auto const now = Core::monotonic_now();
-    if (m_roles_changed && now - m_roles_at >= least_roles_interval)
+    if (m_roles_changed && now - m_roles_updated_at >= min_roles_interval)
         update_roles(now);
-    m_goals.log_required(version_bound(), now);
+    m_goals.log_required_changes(version_time_limit(), now);
     m_returning.tell(now);
-    offer_places();
+    offer_slots();
     std::vector<std::shared_ptr<ProxiedRequest>> requests;
     requests.reserve(m_requests.size());
     for (auto const& [number, request] : m_requests)
@@ -628,7 +628,7 @@
 void DirectEntry::finish_drain()
 {
     auto const elapsed = Core::monotonic_now() - *m_drain_started;
-    if (elapsed < least_drain)
+    if (elapsed < min_drain_time)
         return;
     m_callers->stop_accepting();
     auto const grace = Core::Duration(static_cast<int64_t>(m_settings.bounds.grace_s * milliseconds_per_second));
@@ -636,7 +636,7 @@
     if (is_late) {
         auto const requests = m_requests;
         for (auto const& [number, request] : requests)
-            request->give_up();
+            request->end_at_shutdown();
     }
     if (!is_late && (!m_requests.empty() || !m_callers->has_finished()))
         return;
@@ -658,8 +658,8 @@
 
 void DirectEntry::on_internal_request(std::shared_ptr<Transport::HttpExchange> const& exchange)
 {
-    if (exchange->path() == PeerAbilities::path)
-        exchange->reply(status_ok, { { "Content-Type", "application/json" } }, PeerAbilities::answer());
+    if (exchange->path() == PeerCapabilities::path)
+        exchange->reply(status_ok, { { "Content-Type", "application/json" } }, PeerCapabilities::capabilities());
     else if (exchange->path().starts_with(suspects_path))
         reply_suspects(*exchange);
     else if (!m_weights || !m_weights->serve(exchange))
@@ -677,8 +677,8 @@
     }
     auto const& path = exchange.path();
     auto const digest = path.substr(std::min(path.size(), suspects_path.size() + 1));
-    bool const is_pardoned = exchange.method() == "DELETE" && m_crashes.pardon(digest);
-    exchange.reply(is_pardoned ? status_ok : status_not_found, {}, {});
+    bool const was_cleared = exchange.method() == "DELETE" && m_crashes.clear_by_operator(digest);
+    exchange.reply(was_cleared ? status_ok : status_not_found, {}, {});
 }
 
 size_t DirectEntry::unreadable_server_fields() const
--- a/Services/DirectEntry/DirectEntry.h
+++ b/Services/DirectEntry/DirectEntry.h
@@ -1,15 +1,15 @@
 // SPDX-License-Identifier: BSD-2-Clause
 #pragma once
 
-#include "CrashWatch.h"
+#include "CrashDetector.h"
 #include "EngineSharing.h"
 #include "EntryFacts.h"
 #include "EntryWeights.h"
-#include "GoalTeller.h"
-#include "PeerAbilities.h"
+#include "PeerCapabilities.h"
 #include "ProxiedRequest.h"
 #include "RequestContext.h"
 #include "VersionGoals.h"
+#include "WeightsGoalPublisher.h"
 #include <LibCore/EventLoop.h>
 #include <LibCore/Metrics.h>
 #include <LibPlatform/FactLog.h>
@@ -64,32 +64,32 @@
     void on_link_up(Schema::Hello const&);
     void on_link_message(Schema::Hello const&, Schema::Message const&);
     void on_link_down(std::string const& identity);
-    void on_woke(Core::Duration paused_for);
-    Core::Time arrival();
+    void handle_pause(Core::Duration paused_for);
+    Core::Time arrival_time();
     void on_engine_version(std::string const& ip, int64_t version);
     void check_links();
     void update_roles(Core::Time now);
-    void tell_engine_use();
+    void send_engine_use();
     void update_links();
     std::vector<Routing::SharedEngine> listed_engines() const;
-    void introduce_entries();
+    void announce_new_entries();
 
     Platform::Distance distance(std::string const& entry) const;
     void on_facts(Configuration::FactChanges const&);
     void on_configuration();
-    Schema::Message news() const;
-    Schema::Message load_news() const;
+    Schema::Message log_position_message() const;
+    Schema::Message entry_load_message() const;
     void send_goals();
-    void keep_weights();
+    void create_weights_cache();
     /// Time within which engines must serve a version after it was named.
-    Core::Duration version_bound() const { return Core::Duration(m_settings.bounds.version_ms); }
+    Core::Duration version_time_limit() const { return Core::Duration(m_settings.bounds.version_ms); }
     bool is_stale() const;
     bool is_ready() const;
 
     void on_request(std::shared_ptr<Transport::IngressRequest>);
-    std::function<void(std::string const& entry, Schema::Message const&)> sender_to_able_entries();
-    CrashWatch::Callbacks crash_callbacks();
-    void offer_places();
+    std::function<void(std::string const& entry, Schema::Message const&)> sender_to_capable_entries();
+    CrashDetector::Callbacks crash_callbacks();
+    void offer_slots();
     void tick();
     void finish_drain();
     void reply_suspects(Transport::HttpExchange&);
@@ -105,13 +105,13 @@
     EntryFacts m_facts;
 
     std::unique_ptr<Transport::LinkHub> m_hub;
-    std::unique_ptr<GoalTeller> m_goal_teller;
+    std::unique_ptr<WeightsGoalPublisher> m_goal_publisher;
     int m_link_checks { 0 };
     // Peers whose links were dropped because nothing was received for the keep-alive limit, until they are up again.
     std::set<std::string> m_silent_peers;
     std::set<std::string> m_known_entries;
     // Entries linked for the first time since the last directory message, which other entries may not know of yet.
-    std::set<std::string> m_met_entries;
+    std::set<std::string> m_new_entries;
     VersionGoals m_goals;
 
     std::mt19937_64 m_random;
@@ -120,24 +120,24 @@
     // IP addresses of the engines that this entry has a role for, as their owner or as a helper.
     std::set<std::string> m_used_engines;
     // Whether this entry uses an engine, as last sent to its agent, by IP address.
-    std::map<std::string, bool> m_told_use;
+    std::map<std::string, bool> m_sent_engine_use;
     // The entries or engines changed since engine roles were last assigned.
     bool m_roles_changed { false };
-    Core::Time m_roles_at { 0 };
+    Core::Time m_roles_updated_at { 0 };
     Core::Time m_started_at;
     Routing::ServerTable m_servers;
     Routing::RetryShare m_retries;
-    PeerAbilities m_abilities;
-    CrashWatch m_crashes;
+    PeerCapabilities m_capabilities;
+    CrashDetector m_crashes;
     // Null if the settings give no metrics port or no link bandwidth, or if there is no origin.
     std::unique_ptr<EntryWeights> m_weights;
     Routing::ReturningCallers m_returning;
     RequestContext m_context;
     // Queues of the requests that wait for a slot, by service.
-    std::map<std::string, Routing::ServiceLine> m_lines;
+    std::map<std::string, Routing::ServiceLine> m_service_queues;
     std::map<uint64_t, std::shared_ptr<ProxiedRequest>> m_requests;
     uint64_t m_next_request { 1 };
-    int m_offers { 0 };
+    int m_offer_ticks { 0 };
 
     std::unique_ptr<Transport::IngressServer> m_callers;
     std::unique_ptr<Transport::HttpServer> m_readiness;
--- a/Services/DirectEntry/EngineSharing.h
+++ b/Services/DirectEntry/EngineSharing.h
@@ -27,12 +27,12 @@
     EngineSharing(std::string identity, std::string failure_domain);
 
     /// Counts one request of a caller for the service.
-    void on_asked(std::string const& service) { m_asked[service] += 1; }
+    void on_asked(std::string const& service) { m_request_counts[service] += 1; }
 
     /// Stores the request rates that another entry sent.
     /// @return true if none were known of that entry before.
     bool on_peer_load(std::string const& entry, Schema::EntryLoad const&);
-    void on_peer_down(std::string const& entry) { m_loads.erase(entry); }
+    void on_peer_down(std::string const& entry) { m_peer_loads.erase(entry); }
 
     /// Merges the requests counted since the last call into the smoothed rates. To be called once per `interval`.
     void end_interval();
@@ -49,16 +49,16 @@
     std::vector<Routing::SharingEntry> entries() const;
 
     /// The last rates that each other linked entry sent, by identity.
-    std::map<std::string, Schema::EntryLoad> const& peer_loads() const { return m_loads; }
+    std::map<std::string, Schema::EntryLoad> const& peer_loads() const { return m_peer_loads; }
 
 private:
-    std::vector<Routing::SharingEntry> entries_asked_for(std::string const& service) const;
+    std::vector<Routing::SharingEntry> entries_with_demand(std::string const& service) const;
 
     std::string m_identity;
     std::string m_failure_domain;
-    std::map<std::string, Schema::EntryLoad> m_loads;
+    std::map<std::string, Schema::EntryLoad> m_peer_loads;
     // Requests counted since the last interval, by service.
-    std::map<std::string, uint64_t> m_asked;
+    std::map<std::string, uint64_t> m_request_counts;
     // Smoothed request rates, requests per second, by service.
     std::map<std::string, double> m_demand;
 };
--- a/Services/DirectEntry/EntryFacts.cpp
+++ b/Services/DirectEntry/EntryFacts.cpp
@@ -17,12 +17,12 @@
 static constexpr Core::Duration shortest_configuration_wait { 600 };
 // Messages received over a link within this time after a pause may have been sent before it; a link over which nothing is received
 // for longer is dropped.
-static constexpr Core::Duration late_on_link = Transport::LinkKeepAlive {}.silence;
+static constexpr Core::Duration max_link_delay = Transport::LinkKeepAlive {}.silence;
 // Entries that have run for long know when versions were named. Two are asked, as one of them may have just started.
-static constexpr int most_asked_for_versions = 2;
-static constexpr Core::Duration ask_interval { 1000 };
+static constexpr int max_version_requests = 2;
+static constexpr Core::Duration request_interval { 1000 };
 // Links are re-established and the log has been tried twice well before this.
-static constexpr Core::Duration alone_after { 3000 };
+static constexpr Core::Duration resume_without_facts_after { 3000 };
 
 Platform::FactFollowerSettings follower_settings(Schema::DirectEntrySettingsBounds const& bounds)
 {
@@ -47,35 +47,35 @@
     , m_callbacks(std::move(callbacks))
     , m_pauses(loop)
     , m_follower(loop, m_pauses, *m_log, m_replica, settings, follower_callbacks())
-    , m_kept(loop, std::move(sources.versions), identity, m_replica, metrics, kept_callbacks())
+    , m_stored_versions(loop, std::move(sources.versions), identity, m_replica, metrics, kept_callbacks())
 {
 }
 
 void EntryFacts::start()
 {
     // Versions in the log are evaluated against the stored ones, so these are read first.
-    m_kept.start([this] { m_follower.start(); });
+    m_stored_versions.start([this] { m_follower.start(); });
 }
 
 Platform::KeptVersions::Callbacks EntryFacts::kept_callbacks()
 {
     return {
-        .read = [this](std::vector<Configuration::KnownVersion> const& known) { take_known(known); },
+        .read = [this](std::vector<Configuration::KnownVersion> const& known) { apply_known_versions(known); },
         .entries = [this] { return m_callbacks.entries(); },
         .bad_record = [this](Platform::BadRecord const& bad) { m_bad_records.note(bad); },
     };
 }
 
-void EntryFacts::take_known(std::vector<Configuration::KnownVersion> const& known)
+void EntryFacts::apply_known_versions(std::vector<Configuration::KnownVersion> const& known)
 {
     auto const changes = m_replica.on_known_versions(known, Core::monotonic_now());
     if (changes.has_any() || !changes.dated_versions.empty())
         on_changed(changes);
 }
 
-void EntryFacts::on_shown_version(std::string const& model, int64_t version)
+void EntryFacts::on_version_seen_at_engine(std::string const& model, int64_t version)
 {
-    take_known({ { .model = model, .version = version, .known = Core::monotonic_now() } });
+    apply_known_versions({ { .model = model, .version = version, .known = Core::monotonic_now() } });
 }
 
 void EntryFacts::on_changed(Configuration::FactChanges const& changes)
@@ -85,7 +85,7 @@
         Core::log_event(Core::LogLevel::Warn, "older_record", { { "key", key } });
     }
     m_callbacks.changed(changes);
-    m_kept.keep_new();
+    m_stored_versions.keep_new();
 }
 
 Platform::FactFollower::Callbacks EntryFacts::follower_callbacks()
@@ -100,29 +100,29 @@
 
 // Pauses.
 
-void EntryFacts::on_woke()
+void EntryFacts::reread_after_pause()
 {
-    m_woke_at = Core::monotonic_now();
-    m_has_heard_peer = false;
+    m_resumed_at = Core::monotonic_now();
+    m_has_peer_facts = false;
     // Earlier requests to other entries are lost with the links.
     m_behind_since.reset();
-    m_asked_for_versions = 0;
+    m_version_requests = 0;
     m_follower.read_anew();
 }
 
-bool EntryFacts::is_awake()
+bool EntryFacts::is_current_after_pause()
 {
     m_pauses.look();
-    if (!m_woke_at)
+    if (!m_resumed_at)
         return true;
     auto const now = Core::monotonic_now();
     // While the log is unavailable, another entry that kept running has the latest facts. Without either, continue with the facts at
     // hand after a while.
-    bool const is_over = m_follower.read_at() >= *m_woke_at || m_has_heard_peer || now - *m_woke_at >= alone_after;
+    bool const is_over = m_follower.read_at() >= *m_resumed_at || m_has_peer_facts || now - *m_resumed_at >= resume_without_facts_after;
     if (is_over) {
-        Core::log_event(Core::LogLevel::Info, "awake", { { "after_ms", std::to_string((now - *m_woke_at).count()) }, { "heard", m_follower.read_at() >= *m_woke_at ? "log" : m_has_heard_peer ? "entry"
-                                                                                                                                                                                              : "nobody" } });
-        m_woke_at.reset();
+        Core::log_event(Core::LogLevel::Info, "awake", { { "after_ms", std::to_string((now - *m_resumed_at).count()) }, { "heard", m_follower.read_at() >= *m_resumed_at ? "log" : m_has_peer_facts ? "entry"
+                                                                                                                                                                                                    : "nobody" } });
+        m_resumed_at.reset();
     }
     return is_over;
 }
@@ -139,17 +139,17 @@
     std::vector<Platform::Peer> peers;
     for (auto const& entry : m_callbacks.entries())
         peers.push_back({ entry, m_callbacks.distance(entry) });
-    for (auto const& entry : m_asked.on_failing(topic, peers))
+    for (auto const& entry : m_asked_peers.on_failing(topic, peers))
         m_callbacks.send(entry, message);
 }
 
 void EntryFacts::on_regained(Configuration::FactTopic topic, Core::Duration lost_for)
 {
     m_failing.erase(topic);
-    m_asked.on_regained(topic);
+    m_asked_peers.on_regained(topic);
     // The naming times of the versions read just now are estimates; entries that kept reading the log know better ones.
     if (topic == Configuration::FactTopic::Configuration)
-        m_asked_for_versions = 0;
+        m_version_requests = 0;
     Core::log_event(Core::LogLevel::Info, "log_regained", { { "topic", topic_name(topic) }, { "lost_for_ms", std::to_string(lost_for.count()) } });
 }
 
@@ -167,18 +167,18 @@
 
 void EntryFacts::on_entry_linked(std::string const& entry)
 {
-    if (m_asked.may_ask_linked(m_callbacks.distance(entry)))
+    if (m_asked_peers.may_ask_linked(m_callbacks.distance(entry)))
         m_callbacks.send(entry, request());
-    ask_for_versions(entry);
+    request_versions(entry);
 }
 
 /// Other entries may know a version that the log did not bring to this one, or when a version was named.
-void EntryFacts::ask_for_versions(std::string const& entry)
+void EntryFacts::request_versions(std::string const& entry)
 {
     // Without a configuration this entry would be sent a whole one, and it serves no requests yet.
-    if (m_asked_for_versions >= most_asked_for_versions || !m_replica.configuration())
+    if (m_version_requests >= max_version_requests || !m_replica.configuration())
         return;
-    m_asked_for_versions += 1;
+    m_version_requests += 1;
     m_callbacks.send(entry, request());
 }
 
@@ -188,7 +188,7 @@
     return configuration ? std::optional(configuration->version) : std::nullopt;
 }
 
-void EntryFacts::on_peer_end(std::string const& entry, int64_t configuration_end, std::optional<int64_t> configuration_version)
+void EntryFacts::on_peer_log_position(std::string const& entry, int64_t configuration_end, std::optional<int64_t> configuration_version)
 {
     bool const is_behind = configuration_end > m_replica.end(Configuration::FactTopic::Configuration);
     // An entry that starts reads the newest record of the log, which may be an older configuration that was written late.
@@ -196,11 +196,11 @@
     bool const has_older = own_version && configuration_version && *configuration_version > *own_version;
     if (!is_behind && !has_older) {
         m_behind_since.reset();
-        ask_for_versions(entry);
+        request_versions(entry);
         return;
     }
     // The other entry has read facts that this one has not: this one's read may be waiting on a dead connection.
-    if (!may_ask_again(entry, Core::monotonic_now()))
+    if (!may_request_again(entry, Core::monotonic_now()))
         return;
     auto message = request();
     if (!is_behind)
@@ -209,18 +209,18 @@
 }
 
 /// Whether this entry has been behind for long enough, and has not asked within the last second. Records the request if so.
-bool EntryFacts::may_ask_again(std::string const& entry, Core::Time now)
+bool EntryFacts::may_request_again(std::string const& entry, Core::Time now)
 {
     auto const behind_since = m_behind_since.value_or(now);
     m_behind_since = behind_since;
     bool const may_ask = Platform::AskedPeers::may_ask_ahead(m_callbacks.distance(entry), now - behind_since);
-    if (!may_ask || now - m_asked_at < ask_interval)
+    if (!may_ask || now - m_last_request_at < request_interval)
         return false;
-    m_asked_at = now;
+    m_last_request_at = now;
     return true;
 }
 
-void EntryFacts::on_request(std::string const& entry, Schema::FactRequest const& request)
+void EntryFacts::on_fact_request(std::string const& entry, Schema::FactRequest const& request)
 {
     auto const now = Core::monotonic_now();
     Schema::Message answer;
@@ -232,12 +232,12 @@
 {
     auto const now = Core::monotonic_now();
     auto const batch_age = Core::Duration(batch.age_ms);
-    m_has_heard_peer = true;
+    m_has_peer_facts = true;
     auto const complete_at = m_follower.configuration_complete_at(now);
     // Facts from an entry that is behind too must not make this one's facts count as more current than they are.
     if (batch_age < age(now))
         m_follower.on_peer_facts(batch_age);
-    auto const sent_at = m_pauses.earliest_arrival(now - late_on_link, now);
+    auto const sent_at = m_pauses.earliest_arrival(now - max_link_delay, now);
     auto const changes = m_replica.on_peer(batch, { now, complete_at, sent_at });
     if (!changes.has_any() && changes.dated_versions.empty())
         return;
--- a/Services/DirectEntry/EntryFacts.h
+++ b/Services/DirectEntry/EntryFacts.h
@@ -55,14 +55,14 @@
 
     Configuration::FactReplica const& replica() const { return m_replica; }
     /// Whether the versions that earlier processes stored have been read.
-    bool knows_kept_versions() const { return m_kept.is_read(); }
+    bool has_read_stored_versions() const { return m_stored_versions.is_read(); }
     Core::PauseWatch& pauses() { return m_pauses; }
 
     /// Reads all facts again after the process resumed from a pause.
-    void on_woke();
+    void reread_after_pause();
     /// Whether the facts are current again after the last pause of the process: since it resumed, the log was read or another entry
     /// sent its facts, or 3 s have passed without either. True if there was no pause.
-    bool is_awake();
+    bool is_current_after_pause();
 
     /// Time since both topics, the configuration and the list of backend servers, were last known to be current.
     Core::Duration age(Core::Time now) const { return m_follower.age(now); }
@@ -72,18 +72,18 @@
     void on_servers_doubted() { m_follower.on_servers_doubted(); }
 
     /// Takes as named a version that an engine holds and that neither the log nor another entry has reported.
-    void on_shown_version(std::string const& model, int64_t version);
+    void on_version_seen_at_engine(std::string const& model, int64_t version);
 
     /// Requests facts again from an entry with a new link, as far as they are needed: requests over the previous link may be lost.
     void on_entry_linked(std::string const& entry);
     /// Answers another entry's request with the facts that it lacks.
-    void on_request(std::string const& entry, Schema::FactRequest const&);
+    void on_fact_request(std::string const& entry, Schema::FactRequest const&);
     /// Applies the facts that another entry sent.
     void on_batch(std::string const& entry, Schema::FactBatch const&);
     /// Another entry reports how far it has read the operator's records, and the version of its configuration. Requests the missing
     /// facts from it, at most once a second, if this entry has been behind for long enough.
     /// @param configuration_end the offset after the last record that it has read.
-    void on_peer_end(std::string const& entry, int64_t configuration_end, std::optional<int64_t> configuration_version);
+    void on_peer_log_position(std::string const& entry, int64_t configuration_end, std::optional<int64_t> configuration_version);
     /// Version of the configuration in force here; std::nullopt before one was read.
     std::optional<int64_t> configuration_version() const;
 
@@ -91,12 +91,12 @@
     Platform::FactFollower::Callbacks follower_callbacks();
     Platform::KeptVersions::Callbacks kept_callbacks();
     void on_changed(Configuration::FactChanges const&);
-    void take_known(std::vector<Configuration::KnownVersion> const&);
+    void apply_known_versions(std::vector<Configuration::KnownVersion> const&);
     void on_failing(Configuration::FactTopic, Platform::FactLogFault);
     void on_regained(Configuration::FactTopic, Core::Duration lost_for);
     Schema::Message request() const;
-    void ask_for_versions(std::string const& entry);
-    bool may_ask_again(std::string const& entry, Core::Time now);
+    void request_versions(std::string const& entry);
+    bool may_request_again(std::string const& entry, Core::Time now);
 
     std::unique_ptr<Platform::FactLog> m_log;
     Core::Metrics& m_metrics;
@@ -104,21 +104,21 @@
     Callbacks m_callbacks;
     Core::PauseWatch m_pauses;
     // Set from the end of a pause until the facts are current again.
-    std::optional<Core::Time> m_woke_at;
-    // Whether another entry has sent facts since m_woke_at.
-    bool m_has_heard_peer { false };
+    std::optional<Core::Time> m_resumed_at;
+    // Whether another entry has sent facts since m_resumed_at.
+    bool m_has_peer_facts { false };
     Configuration::FactReplica m_replica;
     Platform::FactFollower m_follower;
-    Platform::KeptVersions m_kept;
+    Platform::KeptVersions m_stored_versions;
     // Topics whose reads fail at present.
     std::set<Configuration::FactTopic> m_failing;
     // Number of entries asked for their known versions since the start, the last pause, or the log's recovery.
-    int m_asked_for_versions { 0 };
+    int m_version_requests { 0 };
     // Since when another entry is known to have read further.
     std::optional<Core::Time> m_behind_since;
     // When an entry that had read further was last asked.
-    Core::Time m_asked_at { 0 };
-    Platform::AskedPeers m_asked;
+    Core::Time m_last_request_at { 0 };
+    Platform::AskedPeers m_asked_peers;
 };
 
 }
--- a/Services/DirectEntry/EntryWeights.cpp
+++ b/Services/DirectEntry/EntryWeights.cpp
@@ -8,14 +8,14 @@
 
 static constexpr double bytes_per_megabit = 125000;
 // Fraction of the network link that weights may use; the rest is left to callers and backend servers.
-static constexpr double weights_part_of_link = 0.75;
+static constexpr double weights_share_of_link = 0.75;
 
 static WeightsCacheSettings cache_settings(Schema::DirectEntrySettings const& settings)
 {
     WeightsCacheSettings result;
     result.identity = settings.identity;
     result.chunk_port = static_cast<uint16_t>(*settings.metrics_port);
-    result.bytes_per_second = static_cast<int64_t>(*settings.link_megabits_per_second * bytes_per_megabit * weights_part_of_link);
+    result.bytes_per_second = static_cast<int64_t>(*settings.link_megabits_per_second * bytes_per_megabit * weights_share_of_link);
     return result;
 }
 
@@ -58,7 +58,7 @@
     return std::any_of(servers.begin(), servers.end(), [&](auto const* server) { return m_context.servers.version_of(server->id, now) < version; });
 }
 
-bool EntryWeights::is_lost(Schema::WeightsGoal const& goal) const
+bool EntryWeights::is_missing_at_all_engines(Schema::WeightsGoal const& goal) const
 {
     auto const now = Core::monotonic_now();
     auto const servers = followed_servers(goal.service);
@@ -79,7 +79,7 @@
     return sources;
 }
 
-std::set<std::string> EntryWeights::near_agents() const
+std::set<std::string> EntryWeights::agents_in_region() const
 {
     std::set<std::string> agents;
     for (auto const* server : m_context.facts.servers()) {
@@ -90,7 +90,7 @@
     return agents;
 }
 
-bool EntryWeights::is_near(std::string const& entry) const
+bool EntryWeights::is_entry_in_region(std::string const& entry) const
 {
     auto const load = m_context.sharing.peer_loads().find(entry);
     return load != m_context.sharing.peer_loads().end() && is_in_region(load->second.failure_domain);
@@ -101,10 +101,10 @@
     Schema::Message message;
     message.pieces = map;
     for (auto const& entry : m_context.hub.peers(Schema::Role::Entry)) {
-        if (is_near(entry))
+        if (is_entry_in_region(entry))
             m_context.hub.send(entry, message);
     }
-    for (auto const& agent : near_agents())
+    for (auto const& agent : agents_in_region())
         m_context.hub.send(agent, message);
 }
 
@@ -113,14 +113,14 @@
     Schema::Message message;
     message.pieces = map;
     for (auto const& entry : m_context.hub.peers(Schema::Role::Entry)) {
-        if (!is_near(entry))
+        if (!is_entry_in_region(entry))
             m_context.hub.send(entry, message);
     }
 }
 
-void EntryWeights::tell_held(Schema::Hello const& peer)
+void EntryWeights::announce_held_to(Schema::Hello const& peer)
 {
-    bool const is_told = peer.role == Schema::Role::Entry || near_agents().contains(peer.identity);
+    bool const is_told = peer.role == Schema::Role::Entry || agents_in_region().contains(peer.identity);
     if (!is_told)
         return;
     for (auto const& map : m_cache.held()) {
--- a/Services/DirectEntry/EntryWeights.h
+++ b/Services/DirectEntry/EntryWeights.h
@@ -33,7 +33,7 @@
     /// Brings the cached copy to the goal's version, which was named at `named_at`.
     void set_goal(Schema::WeightsGoal const& goal, Core::Time named_at) { m_cache.set_goal(goal, named_at); }
     /// Whether this entry follows engines of the goal's service, and none of them serves the goal's version or a newer one.
-    bool is_lost(Schema::WeightsGoal const&) const;
+    bool is_missing_at_all_engines(Schema::WeightsGoal const&) const;
     /// Reads again which entries a copy may be fetched from. To be called when entries come or go.
     void update_sources() { m_cache.update_sources(); }
     /// A peer announced which chunks it holds.
@@ -41,7 +41,7 @@
     void on_peer_down(std::string const& peer) { m_cache.on_peer_down(peer); }
 
     /// Announces the chunks held here to a newly linked peer if it may fetch them: any entry, or a followed agent in this region.
-    void tell_held(Schema::Hello const& peer);
+    void announce_held_to(Schema::Hello const& peer);
 
     /// Answers an HTTP request for a chunk or a manifest. @return false if it is for neither and was not answered.
     bool serve(std::shared_ptr<Transport::HttpExchange> const& exchange) { return m_cache.serve(exchange); }
@@ -55,8 +55,8 @@
     std::vector<Schema::BackendServer const*> followed_servers(std::string const& service) const;
     Weights::CopySources sources() const;
     /// Identities of the agents in this region that this entry follows.
-    std::set<std::string> near_agents() const;
-    bool is_near(std::string const& entry) const;
+    std::set<std::string> agents_in_region() const;
+    bool is_entry_in_region(std::string const& entry) const;
     /// Sends to the entries and followed agents in this region.
     void announce(Schema::PieceMap const&);
     /// Sends to the entries of other regions.
--- a/Services/DirectEntry/PeerAbilities.cpp
+++ b/Services/DirectEntry/PeerCapabilities.cpp
@@ -1,5 +1,5 @@
 // SPDX-License-Identifier: BSD-2-Clause
-#include "PeerAbilities.h"
+#include "PeerCapabilities.h"
 
 #include <LibCore/Log.h>
 #include <utility>
@@ -9,34 +9,34 @@
 static constexpr Core::Duration answer_patience { 1000 };
 static constexpr int status_ok = 200;
 
-std::string PeerAbilities::answer()
+std::string PeerCapabilities::capabilities()
 {
     return R"({"messages":["crash_news"]})";
 }
 
-PeerAbilities::PeerAbilities(Core::EventLoop& loop, std::optional<int64_t> port, std::function<void(std::string const&)> learned)
+PeerCapabilities::PeerCapabilities(Core::EventLoop& loop, std::optional<int64_t> port, std::function<void(std::string const&)> on_accepting)
     : m_client(loop)
     , m_port(port)
-    , m_learned(std::move(learned))
+    , m_on_accepting(std::move(on_accepting))
 {
 }
 
-bool PeerAbilities::understands(std::string const& entry)
+bool PeerCapabilities::accepts_crash_messages(std::string const& entry)
 {
     if (!m_port)
         return true;
-    auto const [known, is_new] = m_answers.try_emplace(entry, Answer::Awaited);
+    auto const [known, is_new] = m_answers.try_emplace(entry, Answer::Pending);
     if (is_new)
-        ask(entry);
-    return known->second == Answer::Understands;
+        query(entry);
+    return known->second == Answer::Supported;
 }
 
-void PeerAbilities::forget(std::string const& entry)
+void PeerCapabilities::forget(std::string const& entry)
 {
     m_answers.erase(entry);
 }
 
-void PeerAbilities::ask(std::string const& entry)
+void PeerCapabilities::query(std::string const& entry)
 {
     Transport::HttpCallRequest call;
     call.address = entry;
@@ -52,11 +52,11 @@
             m_answers.erase(known);
             return;
         }
-        bool const understands = answer->status == status_ok && answer->body == PeerAbilities::answer();
-        known->second = understands ? Answer::Understands : Answer::DoesNot;
-        Core::log_event(Core::LogLevel::Info, "entry_understands", { { "entry", entry }, { "crash_news", understands ? "yes" : "no" } });
-        if (understands)
-            m_learned(entry);
+        bool const accepts = answer->status == status_ok && answer->body == PeerCapabilities::capabilities();
+        known->second = accepts ? Answer::Supported : Answer::Unsupported;
+        Core::log_event(Core::LogLevel::Info, "entry_understands", { { "entry", entry }, { "crash_news", accepts ? "yes" : "no" } });
+        if (accepts)
+            m_on_accepting(entry);
     });
 }
 
--- a/Services/DirectEntry/PeerAbilities.h
+++ b/Services/DirectEntry/PeerCapabilities.h
@@ -15,35 +15,35 @@
 /// Older builds close a link when they receive a message with a member that they do not know, so a question over the link would close
 /// it too. Each entry is therefore queried over HTTP at its metrics port, where older builds answer any path with their metrics.
 /// An entry is queried when the first such message is to be sent over its link, and again only if the query failed.
-class PeerAbilities {
+class PeerCapabilities {
 public:
     /// HTTP path of the capabilities query.
     static constexpr std::string_view path = "/understands";
     /// The body of this build's answer to the query, as JSON.
-    static std::string answer();
+    static std::string capabilities();
 
     /// @param port the metrics port of all entries; if it is std::nullopt, all entries are assumed to accept the messages.
-    /// @param learned called for each entry whose answer shows that it accepts them.
-    PeerAbilities(Core::EventLoop&, std::optional<int64_t> port, std::function<void(std::string const& entry)> learned);
+    /// @param on_accepting called for each entry whose answer shows that it accepts them.
+    PeerCapabilities(Core::EventLoop&, std::optional<int64_t> port, std::function<void(std::string const& entry)> on_accepting);
 
     /// Whether the entry is known to accept the messages. If that is unknown, returns false and queries the entry.
-    bool understands(std::string const& entry);
+    bool accepts_crash_messages(std::string const& entry);
 
     /// Drops the answer of an entry whose link is down: it may come back with another build.
     void forget(std::string const& entry);
 
 private:
     enum class Answer {
-        Awaited,
-        Understands,
-        DoesNot,
+        Pending,
+        Supported,
+        Unsupported,
     };
 
-    void ask(std::string const& entry);
+    void query(std::string const& entry);
 
     Transport::HttpClient m_client;
     std::optional<int64_t> m_port;
-    std::function<void(std::string const&)> m_learned;
+    std::function<void(std::string const&)> m_on_accepting;
     std::map<std::string, Answer> m_answers;
 };
 
--- a/Services/DirectEntry/ProxiedRequest.cpp
+++ b/Services/DirectEntry/ProxiedRequest.cpp
@@ -25,18 +25,18 @@
 static constexpr int status_unavailable = 503;
 static constexpr int status_gateway_timeout = 504;
 
-static constexpr Core::Duration default_wait { 30000 };
+static constexpr Core::Duration default_time_allowed { 30000 };
 // Allowance for the time that a first event takes from here to the caller, and for the median error of a prediction.
 static constexpr Core::Duration answer_margin { 20 };
 static constexpr Core::Duration connect_timeout { 300 };
-static constexpr Core::Duration least_silence { 900 };
-static constexpr double silence_per_objective = 2.5;
+static constexpr Core::Duration min_silence_limit { 900 };
+static constexpr double silence_limit_per_objective = 2.5;
 // Factor on the silence limit while the server answers other requests: this one waits behind them, and sending it elsewhere would only
 // add to the load.
-static constexpr int64_t patience_with_answering = 2;
-static constexpr Core::Duration retry_when_unready { 300 };
-static constexpr size_t most_unread_bytes = size_t { 1 } << 20;
-static constexpr size_t most_buffered_answer = size_t { 8 } << 20;
+static constexpr int64_t silence_factor_while_answering = 2;
+static constexpr Core::Duration retry_after_when_unready { 300 };
+static constexpr size_t max_undelivered_bytes = size_t { 1 } << 20;
+static constexpr size_t max_buffered_answer_bytes = size_t { 8 } << 20;
 
 static std::string milliseconds(Core::Duration duration)
 {
@@ -47,9 +47,9 @@
     : m_context(context)
     , m_caller(std::move(caller))
     , m_number(number)
-    , m_started(context.arrival())
-    , m_suspected(context.crashes, [this] { return content(); })
-    , m_wait(context.servers, context.waiting, context.line)
+    , m_started(context.arrival_time())
+    , m_suspicion(context.crashes, [this] { return content(); })
+    , m_wait(context.servers, context.waiting_policy, context.service_queue)
 {
 }
 
@@ -58,7 +58,7 @@
 void ProxiedRequest::begin()
 {
     m_head = m_context.heads.read_caller(m_caller->head());
-    m_time_allowed = default_wait;
+    m_time_allowed = default_time_allowed;
     m_caller->on_gone([weak = weak_from_this()] {
         if (auto self = weak.lock(); self && !self->is_over()) {
             self->end_call();
@@ -71,18 +71,18 @@
         return;
     set_terms();
     m_context.retries.on_request(m_service, m_started);
-    m_context.asked(m_service);
+    m_context.request_admitted(m_service);
     if (!try_send())
-        wait_for_place();
+        wait_for_slot();
 }
 
 void ProxiedRequest::set_terms()
 {
-    m_first_asked = m_started;
+    m_first_requested_at = m_started;
     if (m_head.deadline)
-        m_first_asked = m_context.returning.first_asked(
-            m_route.name, *m_head.deadline, [this] { return m_suspected.digest(); }, m_started);
-    m_terms.in_time_until = m_first_asked + Core::Duration(m_route.objective_ms) - answer_margin;
+        m_first_requested_at = m_context.returning.first_asked(
+            m_route.name, *m_head.deadline, [this] { return m_suspicion.digest(); }, m_started);
+    m_terms.in_time_until = m_first_requested_at + Core::Duration(m_route.objective_ms) - answer_margin;
     m_terms.deadline = deadline();
 }
 
@@ -94,8 +94,8 @@
         return false;
     }
     m_configuration_version = routes->version();
-    if (!m_context.is_awake()) {
-        refuse(status_unavailable, Refusal::StaleConfiguration, retry_when_unready);
+    if (!m_context.are_facts_current()) {
+        refuse(status_unavailable, Refusal::StaleConfiguration, retry_after_when_unready);
         return false;
     }
     auto const granted = routes->admit(m_head.host, m_head.path, m_head.key);
@@ -107,7 +107,7 @@
     m_priority = granted->priority();
     if (granted->customer)
         m_customer = granted->customer->name;
-    m_time_allowed = std::min(Core::Duration(m_route.timeout_ms), m_head.deadline.value_or(default_wait));
+    m_time_allowed = std::min(Core::Duration(m_route.timeout_ms), m_head.deadline.value_or(default_time_allowed));
     std::uniform_real_distribution<double> draw(0, 1);
     m_service = Routing::RouteTable::pick_service(m_route, draw(m_context.random));
     m_last_event = m_head.last_event;
@@ -118,7 +118,7 @@
 {
     if (denial != Routing::RouteDenial::BlockedRoute && m_context.is_stale()) {
         // A newer configuration, not received yet, may allow it.
-        refuse(status_unavailable, Refusal::StaleConfiguration, retry_when_unready);
+        refuse(status_unavailable, Refusal::StaleConfiguration, retry_after_when_unready);
         return;
     }
     switch (denial) {
@@ -149,11 +149,11 @@
     request.terms = m_terms;
     // A pause of this process must not count as a pause of the servers' answer.
     if (m_has_delivered)
-        request.delivered_at = Core::monotonic_now() - (m_context.running_time() - m_delivered_running);
+        request.delivered_at = Core::monotonic_now() - (m_context.running_time() - m_delivered_at_running);
     return request;
 }
 
-void ProxiedRequest::wait_for_place()
+void ProxiedRequest::wait_for_slot()
 {
     if (is_over())
         return;
@@ -161,7 +161,7 @@
     m_phase = Phase::Waiting;
     auto const request = waiting();
     m_wait.begin(request, now);
-    if (m_silent.empty() && m_wait.is_hopeless(request, m_no_server, now)) {
+    if (m_silent_attempts.empty() && m_wait.is_hopeless(request, m_no_server, now)) {
         refuse_waiting(now);
         return;
     }
@@ -177,11 +177,11 @@
     if (m_wait.becomes_late(request, now)) {
         m_wait.leave();
         m_terms.in_time_until = now - Core::Duration(1);
-        wait_for_place();
+        wait_for_slot();
         return;
     }
     // While a silent server may still answer, waiting for another one costs nothing.
-    if (m_silent.empty() && m_wait.is_hopeless(request, m_no_server, now))
+    if (m_silent_attempts.empty() && m_wait.is_hopeless(request, m_no_server, now))
         refuse_waiting(now);
 }
 
@@ -194,7 +194,7 @@
     needs.prompt_tokens = m_head.prompt_tokens;
     needs.excluded = tried_servers();
     needs.longest_pause = Core::Duration(m_route.objective_gap_ms);
-    m_suspected.add_to(needs);
+    m_suspicion.add_to(needs);
     return needs;
 }
 
@@ -202,7 +202,7 @@
 std::set<std::string> ProxiedRequest::tried_servers() const
 {
     std::set<std::string> tried;
-    for (auto const& [id, started_at_ms] : m_tried) {
+    for (auto const& [id, started_at_ms] : m_tried_servers) {
         auto const latest = m_context.servers.started_at_ms(id);
         bool const has_started_again = started_at_ms && latest && *started_at_ms < *latest;
         if (!has_started_again)
@@ -217,8 +217,8 @@
         return true;
     auto const now = Core::monotonic_now();
     // The deadline may have passed during a pause of the process; then the next tick refuses the request.
-    bool const has_budget = m_silent.empty() || m_context.retries.has_left(m_service, now);
-    if (!m_context.is_awake() || now >= deadline() || !m_suspected.may_send() || !has_budget) {
+    bool const has_budget = m_silent_attempts.empty() || m_context.retries.has_left(m_service, now);
+    if (!m_context.are_facts_current() || now >= deadline() || !m_suspicion.may_send() || !has_budget) {
         m_no_server = Routing::NoServer::AllFull;
         return false;
     }
@@ -247,7 +247,7 @@
 bool ProxiedRequest::try_send_late(Core::Time now)
 {
     auto needs = this->needs();
-    needs.takes_leftover = m_context.waiting.orders_by_timeliness;
+    needs.takes_leftover = m_context.waiting_policy.orders_by_timeliness;
     auto const choice = m_context.servers.choose(needs, now);
     if (!choice.has_value()) {
         m_no_server = choice.error();
@@ -262,13 +262,13 @@
     auto const* server = m_context.servers.find(choice.id);
     m_wait.on_sent(now);
     // Beside an attempt at a silent server, the retry budget is spent only now: without a free slot or budget the silent one is kept.
-    if (!m_silent.empty())
+    if (!m_silent_attempts.empty())
         m_context.retries.try_spend(m_service, now);
-    if (m_sends + m_misses == 0)
+    if (m_counted_attempts + m_unrun_attempts == 0)
         m_context.metrics.observe_ms("mountbarrow_wait_before_send_ms", static_cast<double>((now - m_started).count()));
     m_phase = Phase::Sent;
     auto const version = m_context.servers.version_of(choice.id, now);
-    m_send = std::make_shared<ServerSend>(ServerSend::Target { choice.id, server->address, version, m_context.servers.started_at_ms(choice.id) }, moment(now));
+    m_attempt = std::make_shared<BackendAttempt>(BackendAttempt::Target { choice.id, server->address, version, m_context.servers.started_at_ms(choice.id) }, moment(now));
 
     Platform::BackendTerms terms;
     terms.server_id = choice.id;
@@ -279,74 +279,74 @@
         terms.expected_version = version;
     terms.last_event = m_last_event;
     m_context.servers.on_sent(m_head.request_id, choice, m_head.prompt_tokens, now);
-    m_suspected.on_sent(choice.id);
+    m_suspicion.on_sent(choice.id);
     Core::log_event(Core::LogLevel::Info, "request_sent",
-        { { "request", m_head.request_id }, { "route", m_route.name }, { "server", choice.id }, { "address", server->address }, { "domain", server->failure_domain }, { "predicted_ms", milliseconds(choice.predicted) }, { "in_time_for_ms", milliseconds(m_terms.in_time_until - now) }, { "prompt_tokens", std::to_string(m_head.prompt_tokens) }, { "answer_tokens", std::to_string(m_head.answer_tokens) }, { "attempt", std::to_string(m_sends + m_misses + 1) }, { "after_ms", milliseconds(now - m_started) }, { "remaining_ms", milliseconds(terms.remaining) }, { "configuration", std::to_string(m_configuration_version) }, { "expected_version", terms.expected_version ? std::to_string(*terms.expected_version) : "any" }, { "resume_after", m_last_event ? std::to_string(*m_last_event) : "" } });
+        { { "request", m_head.request_id }, { "route", m_route.name }, { "server", choice.id }, { "address", server->address }, { "domain", server->failure_domain }, { "predicted_ms", milliseconds(choice.predicted) }, { "in_time_for_ms", milliseconds(m_terms.in_time_until - now) }, { "prompt_tokens", std::to_string(m_head.prompt_tokens) }, { "answer_tokens", std::to_string(m_head.answer_tokens) }, { "attempt", std::to_string(m_counted_attempts + m_unrun_attempts + 1) }, { "after_ms", milliseconds(now - m_started) }, { "remaining_ms", milliseconds(terms.remaining) }, { "configuration", std::to_string(m_configuration_version) }, { "expected_version", terms.expected_version ? std::to_string(*terms.expected_version) : "any" }, { "resume_after", m_last_event ? std::to_string(*m_last_event) : "" } });
     start_call(terms);
 }
 
 void ProxiedRequest::start_call(Platform::BackendTerms const& terms)
 {
     Transport::BackendCallRequest call;
-    std::tie(call.address, call.port) = Transport::split_address(m_send->target().address);
+    std::tie(call.address, call.port) = Transport::split_address(m_attempt->target().address);
     call.bytes = m_context.heads.write_request(m_caller->head(), m_caller->body(), terms);
     call.connect_timeout = std::min(connect_timeout, terms.remaining);
     if (m_caller->head().method == "HEAD")
         call.body_expectation = Transport::BodyExpectation::None;
     // The attempt owns the call, so no callback outlives the attempt.
-    auto* const send = m_send.get();
-    m_send->call = Transport::BackendCall::start(m_context.loop, std::move(call),
-        { .connected = [this, send] {
-             m_sends += 1;
-             send->on_connected(moment(Core::monotonic_now())); },
-            .head = [this, send](Transport::MessageHead const& head) { send->on_head(m_context.heads.read_backend(head), moment(Core::monotonic_now())); },
-            .data = [this, send](std::string_view data) { auto keep = shared_from_this(); on_data(*send, data); },
-            .done = [this, send] { auto keep = shared_from_this(); on_done(*send); },
-            .failed = [this, send](Transport::CallFailure failure) { auto keep = shared_from_this(); on_failed(*send, failure); } });
+    auto* const attempt = m_attempt.get();
+    m_attempt->call = Transport::BackendCall::start(m_context.loop, std::move(call),
+        { .connected = [this, attempt] {
+             m_counted_attempts += 1;
+             attempt->on_connected(moment(Core::monotonic_now())); },
+            .head = [this, attempt](Transport::MessageHead const& head) { attempt->on_head(m_context.heads.read_backend(head), moment(Core::monotonic_now())); },
+            .data = [this, attempt](std::string_view data) { auto keep = shared_from_this(); on_data(*attempt, data); },
+            .done = [this, attempt] { auto keep = shared_from_this(); on_done(*attempt); },
+            .failed = [this, attempt](Transport::CallFailure failure) { auto keep = shared_from_this(); on_failed(*attempt, failure); } });
 }
 
-ServerSend::Moment ProxiedRequest::moment(Core::Time now) const
+BackendAttempt::Moment ProxiedRequest::moment(Core::Time now) const
 {
     return { now, m_context.running_time() };
 }
 
 void ProxiedRequest::end_call()
 {
-    if (m_send)
-        m_send->call.reset();
+    if (m_attempt)
+        m_attempt->call.reset();
 }
 
-bool ProxiedRequest::is_trusted_success(ServerSend const& send) const
+bool ProxiedRequest::is_trusted_success(BackendAttempt const& attempt) const
 {
-    auto const& answer = send.answer();
+    auto const& answer = attempt.answer_head();
     return answer.status / 100 == 2 && answer.is_genuine && answer.request_id == m_head.request_id;
 }
 
-void ProxiedRequest::on_data(ServerSend& send, std::string_view data)
+void ProxiedRequest::on_data(BackendAttempt& attempt, std::string_view data)
 {
     if (is_over())
         return;
     auto const now = Core::monotonic_now();
-    send.on_heard(moment(now));
-    m_context.servers.on_heard(send.target().id, now);
+    attempt.on_bytes_received(moment(now));
+    m_context.servers.on_heard(attempt.target().id, now);
     if (m_phase == Phase::Waiting)
-        go_on_with(send);
-    if (is_stream() && is_trusted_success(send)) {
-        pass_events(send, data);
+        select_attempt(attempt);
+    if (is_stream() && is_trusted_success(attempt)) {
+        pass_events(attempt, data);
         return;
     }
-    if (send.body.size() + data.size() > most_buffered_answer) {
-        end_send(send, SendEnd::BrokenOff, ServerOutcome::Failure);
+    if (attempt.body.size() + data.size() > max_buffered_answer_bytes) {
+        end_attempt(attempt, SendEnd::BrokenOff, ServerOutcome::Failure);
         return;
     }
-    send.body.append(data);
+    attempt.body.append(data);
 }
 
-void ProxiedRequest::pass_events(ServerSend& send, std::string_view data)
+void ProxiedRequest::pass_events(BackendAttempt& attempt, std::string_view data)
 {
-    auto const events = send.events.feed(data);
-    if (send.events.is_overgrown()) {
-        end_send(send, SendEnd::BrokenOff, ServerOutcome::Failure);
+    auto const events = attempt.events.feed(data);
+    if (attempt.events.is_overgrown()) {
+        end_attempt(attempt, SendEnd::BrokenOff, ServerOutcome::Failure);
         return;
     }
     std::string out;
@@ -364,80 +364,80 @@
         out += event;
     }
     if (!out.empty())
-        deliver(send, out);
+        deliver(attempt, out);
     if (has_gap && !is_over()) {
         m_context.metrics.count("mountbarrow_event_gaps_total");
-        end_send(send, SendEnd::BrokenOff, ServerOutcome::Failure);
+        end_attempt(attempt, SendEnd::BrokenOff, ServerOutcome::Failure);
     }
 }
 
-void ProxiedRequest::deliver(ServerSend& send, std::string const& events)
+void ProxiedRequest::deliver(BackendAttempt& attempt, std::string const& events)
 {
-    go_on_with(send);
-    send.on_event();
+    select_attempt(attempt);
+    attempt.on_event_delivered();
     if (m_has_delivered)
-        m_longest_pause = std::max(m_longest_pause, send.heard_at() - m_delivered_at);
-    m_delivered_at = send.heard_at();
-    m_delivered_running = m_context.running_time();
+        m_longest_pause = std::max(m_longest_pause, attempt.last_received_at() - m_delivered_at);
+    m_delivered_at = attempt.last_received_at();
+    m_delivered_at_running = m_context.running_time();
     if (!m_has_delivered) {
         m_has_delivered = true;
-        m_first_event_after = send.heard_at() - m_started;
+        m_first_event_after = attempt.last_received_at() - m_started;
         m_context.metrics.observe_ms("mountbarrow_first_event_ms", static_cast<double>(m_first_event_after->count()));
-        m_context.metrics.observe_ms("mountbarrow_server_first_event_ms", static_cast<double>((send.heard_at() - send.sent_at()).count()));
-        m_caller->start(send.answer().status, send.answer().headers, {});
+        m_context.metrics.observe_ms("mountbarrow_server_first_event_ms", static_cast<double>((attempt.last_received_at() - attempt.sent_at()).count()));
+        m_caller->start(attempt.answer_head().status, attempt.answer_head().headers, {});
     }
-    m_context.servers.on_first_event(send.target().id, m_head.request_id, send.heard_at());
+    m_context.servers.on_first_event(attempt.target().id, m_head.request_id, attempt.last_received_at());
     m_caller->part(events);
-    if (m_caller->pending_bytes() > most_unread_bytes) {
+    if (m_caller->pending_bytes() > max_undelivered_bytes) {
         end_call();
-        break_off(Refusal::CallerTooSlow);
+        abort_answer(Refusal::CallerTooSlow);
     }
 }
 
-void ProxiedRequest::on_done(ServerSend& send)
+void ProxiedRequest::on_done(BackendAttempt& attempt)
 {
     if (is_over())
         return;
-    auto const& answer = send.answer();
+    auto const& answer = attempt.answer_head();
     if (answer.is_not_run) {
         m_server_retry_after = answer.retry_after;
-        end_send(send, SendEnd::NotRun, answer.status == status_misdirected ? ServerOutcome::Misdirected : ServerOutcome::Full);
+        end_attempt(attempt, SendEnd::NotRun, answer.status == status_misdirected ? ServerOutcome::Misdirected : ServerOutcome::Full);
         return;
     }
     bool const is_other_answer = answer.request_id != m_head.request_id;
     bool const is_false_success = answer.status / 100 == 2 && !answer.is_genuine;
     if (is_other_answer || is_false_success) {
-        end_send(send, SendEnd::BrokenOff, ServerOutcome::Failure);
+        end_attempt(attempt, SendEnd::BrokenOff, ServerOutcome::Failure);
         return;
     }
     if (answer.status / 100 != 2) {
-        on_failure_status(send);
+        on_failure_status(attempt);
         return;
     }
     if (!is_stream()) {
-        pass_whole_answer(send);
+        pass_whole_answer(attempt);
         return;
     }
-    if (send.events.has_partial_event() || !m_has_delivered) {
-        on_broken_off(send);
+    if (attempt.events.has_partial_event() || !m_has_delivered) {
+        on_broken_off(attempt);
         return;
     }
-    go_on_with(send);
+    select_attempt(attempt);
     m_caller->end();
     end_call();
-    m_suspected.on_ran_to_end();
-    leave_server(ServerOutcome::Success, Core::monotonic_now());
+    m_suspicion.on_run_completed();
+    report_server_outcome(ServerOutcome::Success, Core::monotonic_now());
     finish(Refusal::None, answer.status);
 }
 
-void ProxiedRequest::pass_whole_answer(ServerSend& send)
+void ProxiedRequest::pass_whole_answer(BackendAttempt& attempt)
 {
-    go_on_with(send);
+    select_attempt(attempt);
     end_call();
-    m_caller->reply(send.answer().status, send.answer().headers, send.body);
-    m_suspected.on_ran_to_end();
-    leave_server(ServerOutcome::Success, Core::monotonic_now());
-    finish(Refusal::None, send.answer().status);
+    m_caller->reply(attempt.answer_head().status, attempt.answer_head().headers, attempt.body);
+    m_suspicion.on_run_completed();
+    report_server_outcome(ServerOutcome::Success, Core::monotonic_now());
+    finish(Refusal::None, attempt.answer_head().status);
 }
 
 /// Whether callers take the status to mean that nothing ran. Such a status from a backend server that ran the request is not passed on.
@@ -446,146 +446,146 @@
     return status == status_unavailable || status == status_too_many || status == status_request_timeout || status == status_misdirected;
 }
 
-void ProxiedRequest::on_failure_status(ServerSend& send)
+void ProxiedRequest::on_failure_status(BackendAttempt& attempt)
 {
-    if (send.answer().status < status_server_error && !promises_not_run(send.answer().status)) {
+    if (attempt.answer_head().status < status_server_error && !promises_not_run(attempt.answer_head().status)) {
         // The request itself is invalid: the server's answer is final.
-        pass_whole_answer(send);
+        pass_whole_answer(attempt);
         return;
     }
-    m_suspected.on_ran_to_end();
-    end_send(send, SendEnd::ServerFailure, ServerOutcome::Failure);
+    m_suspicion.on_run_completed();
+    end_attempt(attempt, SendEnd::ServerFailure, ServerOutcome::Failure);
 }
 
-void ProxiedRequest::on_failed(ServerSend& send, Transport::CallFailure failure)
+void ProxiedRequest::on_failed(BackendAttempt& attempt, Transport::CallFailure failure)
 {
     if (is_over())
         return;
     bool const is_unsent = failure == Transport::CallFailure::NotConnected || failure == Transport::CallFailure::Refused;
     if (is_unsent)
-        end_send(send, SendEnd::NotConnected, ServerOutcome::Unreachable);
+        end_attempt(attempt, SendEnd::NotConnected, ServerOutcome::Unreachable);
     else
-        on_broken_off(send);
+        on_broken_off(attempt);
 }
 
 /// Determines by a connection attempt, which takes one round trip, whether the server has terminated. If so, the request becomes a
 /// suspect and the attempt does not count against the route's limit. A cut connection alone means neither.
-void ProxiedRequest::on_broken_off(ServerSend& send)
+void ProxiedRequest::on_broken_off(BackendAttempt& attempt)
 {
-    send.call.reset();
-    if (is_current(send))
-        m_phase = Phase::Asking;
-    m_context.crashes.ask_whether_ended(send.target().id, send.target().address, [weak = weak_from_this(), send = send.weak_from_this()](bool has_ended) {
+    attempt.call.reset();
+    if (is_current(attempt))
+        m_phase = Phase::CheckingServer;
+    m_context.crashes.check_terminated(attempt.target().id, attempt.target().address, [weak = weak_from_this(), attempt = attempt.weak_from_this()](bool has_terminated) {
         auto self = weak.lock();
-        auto broken = send.lock();
+        auto broken = attempt.lock();
         if (self && broken && !self->is_over())
-            self->on_asked(*broken, has_ended);
+            self->on_asked(*broken, has_terminated);
     });
 }
 
-void ProxiedRequest::on_asked(ServerSend& send, bool has_ended)
+void ProxiedRequest::on_asked(BackendAttempt& attempt, bool has_terminated)
 {
-    if (is_current(send)) {
-        if (m_phase != Phase::Asking)
+    if (is_current(attempt)) {
+        if (m_phase != Phase::CheckingServer)
             return;
         m_phase = Phase::Sent;
-    } else if (!is_silent(send)) {
+    } else if (!is_silent(attempt)) {
         return;
     }
-    if (has_ended) {
-        m_suspected.on_ended_under(send.incarnation());
-        end_send(send, SendEnd::ServerEnded, ServerOutcome::Unreachable);
+    if (has_terminated) {
+        m_suspicion.on_terminated_while_running(attempt.incarnation());
+        end_attempt(attempt, SendEnd::ServerEnded, ServerOutcome::Unreachable);
         return;
     }
-    end_send(send, SendEnd::BrokenOff, m_context.servers.is_switching(send.target().id, Core::monotonic_now()) ? ServerOutcome::Neutral : ServerOutcome::Failure);
+    end_attempt(attempt, SendEnd::BrokenOff, m_context.servers.is_switching(attempt.target().id, Core::monotonic_now()) ? ServerOutcome::Neutral : ServerOutcome::Failure);
 }
 
 // Attempts at silent servers.
 
-bool ProxiedRequest::is_silent(ServerSend const& send) const
+bool ProxiedRequest::is_silent(BackendAttempt const& attempt) const
 {
-    return std::any_of(m_silent.begin(), m_silent.end(), [&](auto const& silent) { return silent.get() == &send; });
+    return std::any_of(m_silent_attempts.begin(), m_silent_attempts.end(), [&](auto const& silent) { return silent.get() == &attempt; });
 }
 
 /// Tries another server beside the silent one, whose call is kept: its answer may still come, and until another server has begun to
 /// answer there is nothing better for the caller.
-void ProxiedRequest::look_beside_silent(Core::Time now)
+void ProxiedRequest::try_beside_silent(Core::Time now)
 {
-    if (m_suspected.standing() != Routing::CrashStanding::Clear) {
+    if (m_suspicion.standing() != Routing::CrashStanding::Clear) {
         // No two copies run of a request that may terminate its servers.
-        end_send(*m_send, SendEnd::Silent, ServerOutcome::Unreachable);
+        end_attempt(*m_attempt, SendEnd::Silent, ServerOutcome::Unreachable);
         return;
     }
     m_context.metrics.count("mountbarrow_silent_sends_total");
     Core::log_event(Core::LogLevel::Info, "send_silent",
-        { { "request", m_head.request_id }, { "server", m_send->target().id }, { "heard_ms_ago", milliseconds(now - m_send->heard_at()) }, { "ran_since_heard_ms", milliseconds(m_send->silent_for(m_context.running_time())) }, { "last_event", m_last_event ? std::to_string(*m_last_event) : "" } });
-    m_context.servers.on_silent(m_send->target().id, m_head.request_id, now);
-    m_suspected.on_send_over();
-    m_tried[m_send->target().id] = m_send->target().started_at_ms;
+        { { "request", m_head.request_id }, { "server", m_attempt->target().id }, { "heard_ms_ago", milliseconds(now - m_attempt->last_received_at()) }, { "ran_since_heard_ms", milliseconds(m_attempt->silent_for(m_context.running_time())) }, { "last_event", m_last_event ? std::to_string(*m_last_event) : "" } });
+    m_context.servers.on_silent(m_attempt->target().id, m_head.request_id, now);
+    m_suspicion.on_send_over();
+    m_tried_servers[m_attempt->target().id] = m_attempt->target().started_at_ms;
     m_may_have_run = true;
-    m_silent.push_back(std::move(m_send));
+    m_silent_attempts.push_back(std::move(m_attempt));
     send_again();
 }
 
 /// Makes this attempt the one whose answer the caller gets, and ends all others.
-void ProxiedRequest::go_on_with(ServerSend& send)
+void ProxiedRequest::select_attempt(BackendAttempt& attempt)
 {
-    if (is_current(send) && m_silent.empty())
+    if (is_current(attempt) && m_silent_attempts.empty())
         return;
     auto const now = Core::monotonic_now();
-    auto const chosen = send.shared_from_this();
-    if (!is_current(send)) {
+    auto const chosen = attempt.shared_from_this();
+    if (!is_current(attempt)) {
         m_wait.leave();
         if (is_at_server()) {
             end_call();
-            leave_server(ServerOutcome::Neutral, now);
+            report_server_outcome(ServerOutcome::Neutral, now);
         }
-        m_suspected.on_sent(send.target().id);
+        m_suspicion.on_sent(attempt.target().id);
         m_context.metrics.count("mountbarrow_silent_sends_heard_again_total");
     }
-    std::erase(m_silent, chosen);
-    leave_silent();
-    m_send = chosen;
+    std::erase(m_silent_attempts, chosen);
+    end_silent_attempts();
+    m_attempt = chosen;
     m_phase = Phase::Sent;
 }
 
 /// Returns to the last attempt at a silent server, if any, as no other server could be tried with success.
-bool ProxiedRequest::return_to_silent()
+bool ProxiedRequest::return_to_silent_attempt()
 {
     // An attempt without a call has broken off, and only waits until it is known whether its server has terminated.
-    auto const last = std::find_if(m_silent.rbegin(), m_silent.rend(), [](auto const& send) { return send->call != nullptr; });
-    if (last == m_silent.rend())
+    auto const last = std::find_if(m_silent_attempts.rbegin(), m_silent_attempts.rend(), [](auto const& attempt) { return attempt->call != nullptr; });
+    if (last == m_silent_attempts.rend())
         return false;
     m_wait.leave();
-    m_send = *last;
-    std::erase(m_silent, m_send);
+    m_attempt = *last;
+    std::erase(m_silent_attempts, m_attempt);
     m_phase = Phase::Sent;
-    m_send->on_heard({ m_send->heard_at(), m_context.running_time() });
-    m_suspected.on_sent(m_send->target().id);
+    m_attempt->on_bytes_received({ m_attempt->last_received_at(), m_context.running_time() });
+    m_suspicion.on_sent(m_attempt->target().id);
     return true;
 }
 
-void ProxiedRequest::leave_silent()
+void ProxiedRequest::end_silent_attempts()
 {
     auto const now = Core::monotonic_now();
-    for (auto const& send : std::exchange(m_silent, {})) {
-        send->call.reset();
-        m_context.servers.on_ended(send->target().id, m_head.request_id, ServerOutcome::Neutral, now);
+    for (auto const& attempt : std::exchange(m_silent_attempts, {})) {
+        attempt->call.reset();
+        m_context.servers.on_ended(attempt->target().id, m_head.request_id, ServerOutcome::Neutral, now);
     }
 }
 
 /// Ends an attempt at a silent server; the current attempt or wait continues.
-void ProxiedRequest::end_silent_send(ServerSend& send, SendEnd end, ServerOutcome outcome)
+void ProxiedRequest::end_silent_attempt(BackendAttempt& attempt, SendEnd attempt_outcome, ServerOutcome server_outcome)
 {
     auto const now = Core::monotonic_now();
-    auto const ended = send.shared_from_this();
+    auto const ended = attempt.shared_from_this();
     ended->call.reset();
-    std::erase(m_silent, ended);
-    m_context.servers.on_ended(ended->target().id, m_head.request_id, outcome, now);
-    count_end(end);
-    m_context.metrics.count("mountbarrow_sends_ended_total", std::string("reason=\"") + Routing::send_end_name(end) + "\"");
+    std::erase(m_silent_attempts, ended);
+    m_context.servers.on_ended(ended->target().id, m_head.request_id, server_outcome, now);
+    count_outcome(attempt_outcome);
+    m_context.metrics.count("mountbarrow_sends_ended_total", std::string("reason=\"") + Routing::send_end_name(attempt_outcome) + "\"");
     Core::log_event(Core::LogLevel::Info, "silent_send_ended",
-        { { "request", m_head.request_id }, { "server", ended->target().id }, { "end", Routing::send_end_name(end) }, { "after_ms", milliseconds(now - ended->sent_at()) } });
+        { { "request", m_head.request_id }, { "server", ended->target().id }, { "end", Routing::send_end_name(attempt_outcome) }, { "after_ms", milliseconds(now - ended->sent_at()) } });
 }
 
 /// The parts that the digest covers: they identify what a server runs. The request id is not among them, and the key only if the
@@ -600,10 +600,10 @@
     return { m_caller->head().method, m_head.host, m_caller->head().target, caller, m_caller->body() };
 }
 
-void ProxiedRequest::leave_server(ServerOutcome outcome, Core::Time now)
+void ProxiedRequest::report_server_outcome(ServerOutcome server_outcome, Core::Time now)
 {
-    m_suspected.on_send_over();
-    m_context.servers.on_ended(m_send->target().id, m_head.request_id, outcome, now);
+    m_suspicion.on_send_over();
+    m_context.servers.on_ended(m_attempt->target().id, m_head.request_id, server_outcome, now);
 }
 
 Routing::AttemptState ProxiedRequest::attempt_state(Core::Time now) const
@@ -613,86 +613,86 @@
     state.is_resumable = m_route.is_resumable;
     state.has_delivered = m_has_delivered;
     state.may_have_run = m_may_have_run;
-    state.sends = m_sends;
+    state.sends = m_counted_attempts;
     state.max_attempts = m_route.max_attempts;
-    state.misses = m_misses;
-    state.ended_servers = m_ended_servers;
+    state.misses = m_unrun_attempts;
+    state.ended_servers = m_terminated_servers;
     state.has_budget = m_context.retries.has_left(m_service, now);
     state.remaining = deadline() - now;
     return state;
 }
 
 /// Attempts that ran nothing, or whose server terminated, do not count against the route's limit of attempts.
-void ProxiedRequest::count_end(SendEnd end)
+void ProxiedRequest::count_outcome(SendEnd attempt_outcome)
 {
-    if (end == SendEnd::NotConnected || end == SendEnd::NotRun)
-        m_misses += 1;
-    if (end == SendEnd::NotRun || end == SendEnd::ServerEnded)
-        m_sends -= 1;
-    if (end == SendEnd::ServerEnded)
-        m_ended_servers += 1;
+    if (attempt_outcome == SendEnd::NotConnected || attempt_outcome == SendEnd::NotRun)
+        m_unrun_attempts += 1;
+    if (attempt_outcome == SendEnd::NotRun || attempt_outcome == SendEnd::ServerEnded)
+        m_counted_attempts -= 1;
+    if (attempt_outcome == SendEnd::ServerEnded)
+        m_terminated_servers += 1;
 }
 
-void ProxiedRequest::end_send(ServerSend& send, SendEnd end, ServerOutcome outcome)
+void ProxiedRequest::end_attempt(BackendAttempt& attempt, SendEnd attempt_outcome, ServerOutcome server_outcome)
 {
-    if (!is_current(send)) {
-        end_silent_send(send, end, outcome);
+    if (!is_current(attempt)) {
+        end_silent_attempt(attempt, attempt_outcome, server_outcome);
         return;
     }
     auto const now = Core::monotonic_now();
     end_call();
-    leave_server(outcome, now);
-    if (outcome == ServerOutcome::Misdirected && m_context.servers.is_doubtful(m_send->target().id))
-        m_context.list_doubted();
+    report_server_outcome(server_outcome, now);
+    if (server_outcome == ServerOutcome::Misdirected && m_context.servers.is_doubtful(m_attempt->target().id))
+        m_context.server_list_doubted();
     // A server that was only full may have a free slot when the request is sent again.
-    if (outcome != ServerOutcome::Full)
-        m_tried[m_send->target().id] = m_send->target().started_at_ms;
-    bool const is_miss = end == SendEnd::NotConnected || end == SendEnd::NotRun;
-    count_end(end);
-    auto const step = Routing::next_step(end, attempt_state(now));
-    if (!is_miss)
+    if (server_outcome != ServerOutcome::Full)
+        m_tried_servers[m_attempt->target().id] = m_attempt->target().started_at_ms;
+    bool const was_not_run = attempt_outcome == SendEnd::NotConnected || attempt_outcome == SendEnd::NotRun;
+    count_outcome(attempt_outcome);
+    auto const step = Routing::next_step(attempt_outcome, attempt_state(now));
+    if (!was_not_run)
         m_may_have_run = true;
-    m_context.metrics.count("mountbarrow_sends_ended_total", std::string("reason=\"") + Routing::send_end_name(end) + "\"");
+    m_context.metrics.count("mountbarrow_sends_ended_total", std::string("reason=\"") + Routing::send_end_name(attempt_outcome) + "\"");
     Core::log_event(Core::LogLevel::Info, "send_ended",
-        { { "request", m_head.request_id }, { "server", m_send->target().id }, { "end", Routing::send_end_name(end) }, { "status", std::to_string(m_send->has_head() ? m_send->answer().status : 0) }, { "after_ms", milliseconds(now - m_send->sent_at()) }, { "heard_ms_ago", milliseconds(now - m_send->heard_at()) }, { "ran_since_heard_ms", milliseconds(m_send->silent_for(m_context.running_time())) }, { "has_budget", m_context.retries.has_left(m_service, now) ? "yes" : "no" }, { "next", std::to_string(static_cast<int>(step)) }, { "last_event", m_last_event ? std::to_string(*m_last_event) : "" } });
-    take_step(step, end);
+        { { "request", m_head.request_id }, { "server", m_attempt->target().id }, { "end", Routing::send_end_name(attempt_outcome) }, { "status", std::to_string(m_attempt->has_head() ? m_attempt->answer_head().status : 0) }, { "after_ms", milliseconds(now - m_attempt->sent_at()) }, { "heard_ms_ago", milliseconds(now - m_attempt->last_received_at()) }, { "ran_since_heard_ms", milliseconds(m_attempt->silent_for(m_context.running_time())) }, { "has_budget", m_context.retries.has_left(m_service, now) ? "yes" : "no" }, { "next", std::to_string(static_cast<int>(step)) }, { "last_event", m_last_event ? std::to_string(*m_last_event) : "" } });
+    take_step(step, attempt_outcome);
 }
 
-void ProxiedRequest::take_step(NextStep step, SendEnd end)
+void ProxiedRequest::take_step(NextStep step, SendEnd attempt_outcome)
 {
     bool const goes_on = step == NextStep::SendAgain || step == NextStep::Resume;
     bool const has_answer = step == NextStep::PassFailure;
-    if (!goes_on && !has_answer && return_to_silent())
+    if (!goes_on && !has_answer && return_to_silent_attempt())
         return;
     switch (step) {
     case NextStep::SendAgain:
     case NextStep::Resume:
         // An attempt that never connected reached no server, so its repetition spends no retry budget.
-        if (!m_silent.empty() || end == SendEnd::NotConnected || m_context.retries.try_spend(m_service, Core::monotonic_now())) {
+        if (!m_silent_attempts.empty() || attempt_outcome == SendEnd::NotConnected || m_context.retries.try_spend(m_service, Core::monotonic_now())) {
             send_again();
             return;
         }
         if (m_has_delivered)
-            break_off(Refusal::BrokenOff);
+            abort_answer(Refusal::BrokenOff);
         else if (m_may_have_run)
             refuse(status_bad_gateway, Refusal::OutcomeUnknown, {});
         else
             refuse_not_run();
         return;
     case NextStep::PassFailure:
-        if (promises_not_run(m_send->answer().status))
+        if (promises_not_run(m_attempt->answer_head().status))
             refuse(status_bad_gateway, Refusal::OutcomeUnknown, {});
         else
-            pass_whole_answer(*m_send);
+            pass_whole_answer(*m_attempt);
         return;
     case NextStep::RefuseNotRun:
         refuse_not_run();
         return;
     case NextStep::AnswerUnknown:
-        refuse(end == SendEnd::Silent || end == SendEnd::Outdated ? status_gateway_timeout : status_bad_gateway, Refusal::OutcomeUnknown, {});
+        refuse(attempt_outcome == SendEnd::Silent || attempt_outcome == SendEnd::Outdated ? status_gateway_timeout : status_bad_gateway, Refusal::OutcomeUnknown, {});
         return;
     case NextStep::BreakOff:
-        break_off(Refusal::BrokenOff);
+        abort_answer(Refusal::BrokenOff);
         return;
     }
 }
@@ -706,7 +706,7 @@
 {
     m_phase = Phase::Waiting;
     if (!try_send())
-        wait_for_place();
+        wait_for_slot();
 }
 
 void ProxiedRequest::tick(Core::Time now)
@@ -715,52 +715,52 @@
     if (is_over())
         return;
     if (now >= deadline()) {
-        bool const was_sent = is_at_server() && m_send->is_connected();
+        bool const was_sent = is_at_server() && m_attempt->is_connected();
         bool const may_have_run = m_may_have_run || was_sent;
         if (is_at_server()) {
             end_call();
-            leave_server(ServerOutcome::Neutral, now);
+            report_server_outcome(ServerOutcome::Neutral, now);
         }
         if (m_has_delivered)
-            break_off(Refusal::DeadlinePassed);
+            abort_answer(Refusal::DeadlinePassed);
         else
             refuse(may_have_run ? status_gateway_timeout : status_unavailable, Refusal::DeadlinePassed, {});
         return;
     }
-    drop_outdated_silent(now);
+    end_outdated_silent_attempts(now);
     if (m_phase == Phase::Waiting) {
         check_waiting(now);
         return;
     }
-    if (m_phase == Phase::Asking)
+    if (m_phase == Phase::CheckingServer)
         return;
-    if (m_phase == Phase::Sent && is_outdated(*m_send, now)) {
-        end_send(*m_send, SendEnd::Outdated, ServerOutcome::Neutral);
+    if (m_phase == Phase::Sent && is_outdated(*m_attempt, now)) {
+        end_attempt(*m_attempt, SendEnd::Outdated, ServerOutcome::Neutral);
         return;
     }
     auto const objective = m_has_delivered ? m_route.objective_gap_ms : m_route.objective_ms;
-    auto const silence = std::max(least_silence, Core::Duration(static_cast<int64_t>(silence_per_objective * static_cast<double>(objective))));
-    bool const may_give_up_send = Routing::is_repeatable(attempt_state(now)) && m_sends < m_route.max_attempts;
-    auto const patience = m_context.servers.is_answering(m_send->target().id, now) ? silence * patience_with_answering : silence;
-    if (m_phase == Phase::Sent && m_send->is_connected() && may_give_up_send && m_send->look_for_silence(m_context.running_time(), patience))
-        look_beside_silent(now);
+    auto const silence = std::max(min_silence_limit, Core::Duration(static_cast<int64_t>(silence_limit_per_objective * static_cast<double>(objective))));
+    bool const may_try_another = Routing::is_repeatable(attempt_state(now)) && m_counted_attempts < m_route.max_attempts;
+    auto const silence_limit = m_context.servers.is_answering(m_attempt->target().id, now) ? silence * silence_factor_while_answering : silence;
+    if (m_phase == Phase::Sent && m_attempt->is_connected() && may_try_another && m_attempt->check_silence(m_context.running_time(), silence_limit))
+        try_beside_silent(now);
 }
 
 /// Whether the server has not begun to answer and holds a version older than the required one, and the request may be repeated.
-bool ProxiedRequest::is_outdated(ServerSend const& send, Core::Time now) const
+bool ProxiedRequest::is_outdated(BackendAttempt const& attempt, Core::Time now) const
 {
-    if (send.has_event() || send.target().version == 0)
+    if (attempt.has_delivered_event() || attempt.target().version == 0)
         return false;
     auto const required = m_context.required_version(m_service);
-    return required && send.target().version < *required && Routing::is_repeatable(attempt_state(now));
+    return required && attempt.target().version < *required && Routing::is_repeatable(attempt_state(now));
 }
 
-void ProxiedRequest::drop_outdated_silent(Core::Time now)
+void ProxiedRequest::end_outdated_silent_attempts(Core::Time now)
 {
-    auto const sends = m_silent;
-    for (auto const& send : sends) {
-        if (is_outdated(*send, now))
-            end_silent_send(*send, SendEnd::Outdated, ServerOutcome::Neutral);
+    auto const attempts = m_silent_attempts;
+    for (auto const& attempt : attempts) {
+        if (is_outdated(*attempt, now))
+            end_silent_attempt(*attempt, SendEnd::Outdated, ServerOutcome::Neutral);
     }
 }
 
@@ -768,10 +768,10 @@
 {
     m_wait.log_refusal(m_head.request_id, waiting(), now);
     m_wait.leave();
-    if (return_to_silent())
+    if (return_to_silent_attempt())
         return;
     if (m_has_delivered) {
-        break_off(Refusal::NoPlace);
+        abort_answer(Refusal::NoSlot);
         return;
     }
     if (m_may_have_run) {
@@ -783,29 +783,29 @@
         refuse(status_unavailable, Refusal::NoServer, longest_retry_after);
         return;
     }
-    refuse(status_unavailable, Refusal::NoPlace, m_wait.retry_after(m_service, now, m_context.random));
+    refuse(status_unavailable, Refusal::NoSlot, m_wait.retry_after(m_service, now, m_context.random));
 }
 
 void ProxiedRequest::refuse(int status, Refusal refusal, std::optional<Core::Duration> retry_after)
 {
-    bool const is_not_run = promises_not_run(status) || (refusal == Refusal::EndsServers && !m_may_have_run);
+    bool const is_not_run = promises_not_run(status) || (refusal == Refusal::TerminatesServers && !m_may_have_run);
     auto const outcome = is_not_run ? Schema::Outcome::NotRun : status < status_server_error ? Schema::Outcome::Rejected
                                                                                              : Schema::Outcome::Unknown;
     auto const problem = refusal_problem(refusal, status, outcome, retry_after);
-    remember_caller();
+    record_refused_caller();
     m_caller->reply(status, m_context.heads.own_answer(m_head.request_id, retry_after), Schema::to_text(problem));
     finish(refusal, status);
 }
 
 /// Records the refusal: a caller whose deadline has not passed may send the request again, here or at another entry.
-void ProxiedRequest::remember_caller()
+void ProxiedRequest::record_refused_caller()
 {
     bool const was_admitted = !m_service.empty();
     if (was_admitted && m_head.deadline)
-        m_context.returning.on_refused({ m_suspected.digest(), m_first_asked, m_started + *m_head.deadline }, Core::monotonic_now());
+        m_context.returning.on_refused({ m_suspicion.digest(), m_first_requested_at, m_started + *m_head.deadline }, Core::monotonic_now());
 }
 
-void ProxiedRequest::break_off(Refusal refusal)
+void ProxiedRequest::abort_answer(Refusal refusal)
 {
     m_caller->abort();
     finish(refusal, 0);
@@ -814,10 +814,10 @@
 void ProxiedRequest::on_blamed(std::string const& digest)
 {
     auto keep = shared_from_this();
-    bool const is_this = !is_over() && m_phase != Phase::Admitting && m_suspected.is(digest);
-    if (!is_this || m_suspected.standing() != Routing::CrashStanding::Blamed)
+    bool const is_this = !is_over() && m_phase != Phase::Admitting && m_suspicion.has_digest(digest);
+    if (!is_this || m_suspicion.standing() != Routing::CrashStanding::Blamed)
         return;
-    m_may_have_run = m_may_have_run || (is_at_server() && m_send->is_connected());
+    m_may_have_run = m_may_have_run || (is_at_server() && m_attempt->is_connected());
     // A server that has not begun the request drops it when its connection closes.
     end_call();
     refuse_if_blamed();
@@ -827,45 +827,45 @@
 /// send the request again, and one that calls the request malformed would be wrong.
 bool ProxiedRequest::refuse_if_blamed()
 {
-    if (m_suspected.standing() != Routing::CrashStanding::Blamed)
+    if (m_suspicion.standing() != Routing::CrashStanding::Blamed)
         return false;
     m_wait.leave();
     if (m_has_delivered)
-        break_off(Refusal::EndsServers);
+        abort_answer(Refusal::TerminatesServers);
     else
-        refuse(m_may_have_run ? status_bad_gateway : status_server_error, Refusal::EndsServers, {});
+        refuse(m_may_have_run ? status_bad_gateway : status_server_error, Refusal::TerminatesServers, {});
     return true;
 }
 
-void ProxiedRequest::give_up()
+void ProxiedRequest::end_at_shutdown()
 {
     if (is_over())
         return;
     bool const may_have_run = m_may_have_run || is_at_server();
     end_call();
     if (m_has_delivered)
-        break_off(Refusal::Stopping);
+        abort_answer(Refusal::Stopping);
     else
-        refuse(may_have_run ? status_bad_gateway : status_unavailable, Refusal::Stopping, retry_when_unready);
+        refuse(may_have_run ? status_bad_gateway : status_unavailable, Refusal::Stopping, retry_after_when_unready);
 }
 
 void ProxiedRequest::finish(Refusal refusal, int status)
 {
     auto const now = Core::monotonic_now();
     m_wait.leave();
-    leave_silent();
+    end_silent_attempts();
     bool const was_sent = is_at_server();
     m_phase = Phase::Over;
     if (was_sent)
-        leave_server(ServerOutcome::Neutral, now);
+        report_server_outcome(ServerOutcome::Neutral, now);
     m_context.metrics.count("mountbarrow_requests_total", std::string("end=\"") + refusal_name(refusal) + "\"");
     m_context.metrics.observe_ms("mountbarrow_request_ms", static_cast<double>((now - m_started).count()));
     if (m_has_delivered)
         m_context.metrics.observe_ms("mountbarrow_longest_pause_ms", static_cast<double>(m_longest_pause.count()));
     auto const level = refusal == Refusal::None ? Core::LogLevel::Info : Core::LogLevel::Warn;
     Core::log_event(level, "request_ended",
-        { { "request", m_head.request_id }, { "route", m_route.name }, { "end", refusal_name(refusal) }, { "status", std::to_string(status) }, { "after_ms", milliseconds(now - m_started) }, { "first_event_ms", m_first_event_after ? milliseconds(*m_first_event_after) : "" }, { "longest_pause_ms", milliseconds(m_longest_pause) }, { "objective_ms", std::to_string(m_route.objective_ms) }, { "pause_objective_ms", std::to_string(m_route.objective_gap_ms) }, { "prompt_tokens", std::to_string(m_head.prompt_tokens) }, { "asked_before_ms", milliseconds(m_started - m_first_asked) }, { "server", m_send ? m_send->target().id : "" }, { "sends", std::to_string(m_sends) }, { "last_event", m_last_event ? std::to_string(*m_last_event) : "" } });
-    m_context.over(m_number);
+        { { "request", m_head.request_id }, { "route", m_route.name }, { "end", refusal_name(refusal) }, { "status", std::to_string(status) }, { "after_ms", milliseconds(now - m_started) }, { "first_event_ms", m_first_event_after ? milliseconds(*m_first_event_after) : "" }, { "longest_pause_ms", milliseconds(m_longest_pause) }, { "objective_ms", std::to_string(m_route.objective_ms) }, { "pause_objective_ms", std::to_string(m_route.objective_gap_ms) }, { "prompt_tokens", std::to_string(m_head.prompt_tokens) }, { "asked_before_ms", milliseconds(m_started - m_first_requested_at) }, { "server", m_attempt ? m_attempt->target().id : "" }, { "sends", std::to_string(m_counted_attempts) }, { "last_event", m_last_event ? std::to_string(*m_last_event) : "" } });
+    m_context.request_over(m_number);
 }
 
 }
--- a/Services/DirectEntry/ProxiedRequest.h
+++ b/Services/DirectEntry/ProxiedRequest.h
@@ -1,9 +1,9 @@
 // SPDX-License-Identifier: BSD-2-Clause
 #pragma once
 
+#include "BackendAttempt.h"
 #include "RequestContext.h"
-#include "ServerSend.h"
-#include "SuspectedRequest.h"
+#include "RequestSuspicion.h"
 #include <LibPlatform/RequestHeads.h>
 #include <LibRouting/AnswerTerms.h>
 #include <LibRouting/AttemptPolicy.h>
@@ -40,7 +40,7 @@
     void tick(Core::Time now);
 
     /// The process is about to exit: refuses the request, or aborts its answer if part of it was delivered.
-    void give_up();
+    void end_at_shutdown();
 
     /// The request with this digest was blamed, as backend servers kept terminating while they ran it. Refuses this request if the
     /// digest is its own.
@@ -55,7 +55,7 @@
         Waiting,
         Sent,
         /// The answer broke off, and a connection attempt determines whether the server has terminated.
-        Asking,
+        CheckingServer,
         Over,
     };
 
@@ -64,42 +64,42 @@
     void set_terms();
     bool try_send_in_time(Core::Time now);
     bool try_send_late(Core::Time now);
-    void wait_for_place();
+    void wait_for_slot();
     Routing::WaitingRequest waiting() const;
     void check_waiting(Core::Time now);
     void refuse_waiting(Core::Time now);
-    bool is_outdated(ServerSend const&, Core::Time now) const;
+    bool is_outdated(BackendAttempt const&, Core::Time now) const;
     Routing::ServerNeeds needs();
     std::set<std::string> tried_servers() const;
     void send_to(Routing::ServerChoice const&, Core::Time now);
     void start_call(Platform::BackendTerms const&);
     void end_call();
-    ServerSend::Moment moment(Core::Time now) const;
-
-    void on_data(ServerSend&, std::string_view);
-    void on_done(ServerSend&);
-    void on_failed(ServerSend&, Transport::CallFailure);
-    void on_broken_off(ServerSend&);
-    void on_asked(ServerSend&, bool has_ended);
-    void pass_events(ServerSend&, std::string_view);
-    void deliver(ServerSend&, std::string const& events);
-    void pass_whole_answer(ServerSend&);
-    bool is_trusted_success(ServerSend const&) const;
-    void on_failure_status(ServerSend&);
-
-    bool is_current(ServerSend const& send) const { return m_send.get() == &send; }
-    bool is_silent(ServerSend const&) const;
-    void look_beside_silent(Core::Time now);
-    void go_on_with(ServerSend&);
-    bool return_to_silent();
-    void leave_silent();
-    void end_silent_send(ServerSend&, Routing::SendEnd, Routing::ServerOutcome);
-    void drop_outdated_silent(Core::Time now);
-
-    void count_end(Routing::SendEnd);
-    void end_send(ServerSend&, Routing::SendEnd, Routing::ServerOutcome);
-    void leave_server(Routing::ServerOutcome, Core::Time now);
-    bool is_at_server() const { return m_phase == Phase::Sent || m_phase == Phase::Asking; }
+    BackendAttempt::Moment moment(Core::Time now) const;
+
+    void on_data(BackendAttempt&, std::string_view);
+    void on_done(BackendAttempt&);
+    void on_failed(BackendAttempt&, Transport::CallFailure);
+    void on_broken_off(BackendAttempt&);
+    void on_asked(BackendAttempt&, bool has_terminated);
+    void pass_events(BackendAttempt&, std::string_view);
+    void deliver(BackendAttempt&, std::string const& events);
+    void pass_whole_answer(BackendAttempt&);
+    bool is_trusted_success(BackendAttempt const&) const;
+    void on_failure_status(BackendAttempt&);
+
+    bool is_current(BackendAttempt const& attempt) const { return m_attempt.get() == &attempt; }
+    bool is_silent(BackendAttempt const&) const;
+    void try_beside_silent(Core::Time now);
+    void select_attempt(BackendAttempt&);
+    bool return_to_silent_attempt();
+    void end_silent_attempts();
+    void end_silent_attempt(BackendAttempt&, Routing::SendEnd, Routing::ServerOutcome);
+    void end_outdated_silent_attempts(Core::Time now);
+
+    void count_outcome(Routing::SendEnd);
+    void end_attempt(BackendAttempt&, Routing::SendEnd, Routing::ServerOutcome);
+    void report_server_outcome(Routing::ServerOutcome, Core::Time now);
+    bool is_at_server() const { return m_phase == Phase::Sent || m_phase == Phase::CheckingServer; }
     Routing::RequestContent content() const;
     bool refuse_if_blamed();
     Routing::AttemptState attempt_state(Core::Time now) const;
@@ -107,9 +107,9 @@
     void refuse_not_run();
     void send_again();
 
-    void remember_caller();
+    void record_refused_caller();
     void refuse(int status, Refusal, std::optional<Core::Duration> retry_after);
-    void break_off(Refusal);
+    void abort_answer(Refusal);
     void finish(Refusal, int status);
 
     Core::Time deadline() const { return m_started + m_time_allowed; }
@@ -129,26 +129,26 @@
     int64_t m_configuration_version { 0 };
 
     // The current attempt, or the last one; null before the first.
-    std::shared_ptr<ServerSend> m_send;
+    std::shared_ptr<BackendAttempt> m_attempt;
     // Attempts at silent servers, kept while another server is tried: the first whose answer continues ends the others.
-    std::vector<std::shared_ptr<ServerSend>> m_silent;
+    std::vector<std::shared_ptr<BackendAttempt>> m_silent_attempts;
 
     // Over all attempts:
     // Backend servers that it was sent to, each with the start time of the last incarnation that was tried, Unix milliseconds.
-    std::map<std::string, std::optional<int64_t>> m_tried;
+    std::map<std::string, std::optional<int64_t>> m_tried_servers;
     // Attempts that reached a server, without those that the server reported as not run and those whose server terminated.
-    int64_t m_sends { 0 };
+    int64_t m_counted_attempts { 0 };
     // Attempts that ended as not connected or not run.
-    int64_t m_misses { 0 };
+    int64_t m_unrun_attempts { 0 };
     // Attempts at servers that terminated meanwhile.
-    int64_t m_ended_servers { 0 };
-    SuspectedRequest m_suspected;
+    int64_t m_terminated_servers { 0 };
+    RequestSuspicion m_suspicion;
     bool m_may_have_run { false };
     bool m_has_delivered { false };
     std::optional<int64_t> m_last_event;
     std::optional<Core::Duration> m_server_retry_after;
     // When the caller first sent this request, also to another entry that refused it, as far as is known.
-    Core::Time m_first_asked { 0 };
+    Core::Time m_first_requested_at { 0 };
     Routing::AnswerTerms m_terms;
     Routing::PlaceWait m_wait;
     // Why no backend server could be chosen last.
@@ -157,7 +157,7 @@
     // When events were last delivered to the caller, by the steady clock.
     Core::Time m_delivered_at { 0 };
     // The same by the running-time clock, which leaves out pauses of the process.
-    Core::Time m_delivered_running { 0 };
+    Core::Time m_delivered_at_running { 0 };
     // Longest time between two deliveries.
     Core::Duration m_longest_pause { 0 };
 };
--- a/Services/DirectEntry/Refusal.cpp
+++ b/Services/DirectEntry/Refusal.cpp
@@ -22,7 +22,7 @@
         return "unreadable_configuration";
     case Refusal::NoServer:
         return "no_server";
-    case Refusal::NoPlace:
+    case Refusal::NoSlot:
         return "no_place";
     case Refusal::QueueFull:
         return "queue_full";
@@ -34,7 +34,7 @@
         return "server_failure";
     case Refusal::BrokenOff:
         return "broken_off";
-    case Refusal::EndsServers:
+    case Refusal::TerminatesServers:
         return "ends_servers";
     case Refusal::DeadlinePassed:
         return "deadline_passed";
@@ -54,7 +54,7 @@
     problem.type = std::string("urn:mountbarrow:problem:") + refusal_name(refusal);
     problem.status = status;
     problem.outcome = outcome;
-    if (refusal == Refusal::EndsServers)
+    if (refusal == Refusal::TerminatesServers)
         problem.title = "Servers end that run this request: do not send it again.";
     else
         problem.title = outcome == Schema::Outcome::NotRun ? "Refused: the request was not run." : "The request got no answer.";
--- a/Services/DirectEntry/Refusal.h
+++ b/Services/DirectEntry/Refusal.h
@@ -19,7 +19,7 @@
     /// No backend server of the service can serve.
     NoServer,
     /// No slot at a backend server became free, or none is expected in time.
-    NoPlace,
+    NoSlot,
     QueueFull,
     /// All attempts failed before a backend server ran the request.
     NotRunAnywhere,
@@ -29,7 +29,7 @@
     /// The answer broke off after part of it was delivered, and cannot be resumed.
     BrokenOff,
     /// The request is blamed: backend servers kept terminating while they ran it.
-    EndsServers,
+    TerminatesServers,
     DeadlinePassed,
     CallerGone,
     CallerTooSlow,
--- a/Services/DirectEntry/RequestContext.h
+++ b/Services/DirectEntry/RequestContext.h
@@ -1,7 +1,7 @@
 // SPDX-License-Identifier: BSD-2-Clause
 #pragma once
 
-#include "CrashWatch.h"
+#include "CrashDetector.h"
 #include "Refusal.h"
 #include <LibCore/EventLoop.h>
 #include <LibCore/Metrics.h>
@@ -25,17 +25,17 @@
     Platform::RequestHeads const& heads;
     Routing::ServerTable& servers;
     Routing::RetryShare& retries;
-    CrashWatch& crashes;
+    CrashDetector& crashes;
     std::mt19937_64& random;
-    Routing::WaitingPolicy waiting;
+    Routing::WaitingPolicy waiting_policy;
     /// Null until a configuration has been read.
     std::shared_ptr<Routing::RouteTable const> routes;
     /// Whether the configuration read here may be out of date, as it was not known to be current for a while.
     std::function<bool()> is_stale;
     /// False after a pause of the process until the facts have been read again; no request is sent meanwhile.
-    std::function<bool()> is_awake;
+    std::function<bool()> are_facts_current;
     /// The earliest time at which a request that is read now can have arrived: after a pause of the process, the start of the pause.
-    std::function<Core::Time()> arrival;
+    std::function<Core::Time()> arrival_time;
     /// The current time by the running-time clock, which leaves out pauses of the process (Core::PauseWatch).
     std::function<Core::Time()> running_time;
     /// The version that an engine of the service must serve by now; std::nullopt while any whole version will do.
@@ -44,13 +44,13 @@
     std::function<int64_t(std::string const& service)> newest_version;
     Routing::ReturningCallers& returning;
     /// The queue of the requests that wait for a slot at the service.
-    std::function<Routing::ServiceLine&(std::string const& service)> line;
+    std::function<Routing::ServiceLine&(std::string const& service)> service_queue;
     /// Called once for each admitted request for the service.
-    std::function<void(std::string const& service)> asked;
+    std::function<void(std::string const& service)> request_admitted;
     /// Called when a backend server differs repeatedly from its entry in the list.
-    std::function<void()> list_doubted;
+    std::function<void()> server_list_doubted;
     /// Called once when the request with this number is over.
-    std::function<void(uint64_t number)> over;
+    std::function<void(uint64_t number)> request_over;
 };
 
 }
--- a/Services/DirectEntry/SuspectedRequest.h
+++ b/Services/DirectEntry/RequestSuspicion.h
@@ -1,7 +1,7 @@
 // SPDX-License-Identifier: BSD-2-Clause
 #pragma once
 
-#include "CrashWatch.h"
+#include "CrashDetector.h"
 #include <LibRouting/RequestDigest.h>
 #include <LibRouting/ServerTable.h>
 #include <functional>
@@ -13,13 +13,13 @@
 /// Applies the crash suspicions to one request in flight: whether it may be sent, where, and alone or not.
 ///
 /// The digest that names the request is computed on first use only: never while there are no suspects and no server terminates.
-class SuspectedRequest {
+class RequestSuspicion {
 public:
     /// @param content returns the parts of the request that its digest covers.
-    SuspectedRequest(CrashWatch&, std::function<Routing::RequestContent()> content);
+    RequestSuspicion(CrashDetector&, std::function<Routing::RequestContent()> content);
 
     std::string const& digest();
-    bool is(std::string const& digest) { return this->digest() == digest; }
+    bool has_digest(std::string const& digest) { return this->digest() == digest; }
     /// Whether the request is clear, suspected, must run alone, or is blamed (refused, as servers kept terminating while they ran it).
     Routing::CrashStanding standing();
     /// Whether a copy of the request may be sent from this entry now. A suspect is sent one copy at a time.
@@ -32,14 +32,14 @@
     /// The current attempt has ended, whatever its outcome.
     void on_send_over();
     /// The server of the current attempt terminated while it ran the request.
-    void on_ended_under(std::string const& incarnation);
+    void on_terminated_while_running(std::string const& incarnation);
     /// The request ran to completion: it is no suspect any more.
-    void on_ran_to_end();
+    void on_run_completed();
 
 private:
-    bool has_suspects() const { return !m_watch.suspects().is_empty(); }
+    bool has_suspects() const { return !m_crashes.suspects().is_empty(); }
 
-    CrashWatch& m_watch;
+    CrashDetector& m_crashes;
     std::function<Routing::RequestContent()> m_content;
     std::optional<std::string> m_digest;
     Routing::CrashSend m_sent { Routing::CrashSend::Free };
--- a/Services/DirectEntry/VersionGoals.cpp
+++ b/Services/DirectEntry/VersionGoals.cpp
@@ -9,12 +9,12 @@
 namespace DirectEntry {
 
 // A version is required this long before its time limit, as requests sent just before still have to begin.
-static constexpr Core::Duration version_margin { 1500 };
+static constexpr Core::Duration version_start_margin { 1500 };
 // A version that no entry is known to have known before may be as old as the last read that did not bring it. Engines still get this
 // long to load it: about as long as the platform counts an instance as out of contact.
 static constexpr Core::Duration found_grace { 2500 };
 
-std::vector<Schema::WeightsGoal> VersionGoals::goals(Core::Duration version_bound, Core::Time now) const
+std::vector<Schema::WeightsGoal> VersionGoals::goals(Core::Duration version_time_limit, Core::Time now) const
 {
     std::vector<Schema::WeightsGoal> goals;
     auto const& configuration = m_facts.configuration();
@@ -22,12 +22,12 @@
         return goals;
     for (auto const& service : configuration->services) {
         if (service.timing)
-            goals.push_back(goal(service, version_bound, now));
+            goals.push_back(goal(service, version_time_limit, now));
     }
     return goals;
 }
 
-Schema::WeightsGoal VersionGoals::goal(Schema::RoutedService const& service, Core::Duration version_bound, Core::Time now) const
+Schema::WeightsGoal VersionGoals::goal(Schema::RoutedService const& service, Core::Duration version_time_limit, Core::Time now) const
 {
     Schema::WeightsGoal goal {};
     goal.service = service.name;
@@ -41,7 +41,7 @@
         goal.age_ms = (now - newest.presumed()).count();
     }
     goal.origin_address = origin_address();
-    goal.bound_ms = version_bound.count();
+    goal.bound_ms = version_time_limit.count();
     goal.may_evict = may_evict(service.name);
     goal.layers = service.timing->layers.value_or(0);
     goal.chunks = service.timing->chunks.value_or(0);
@@ -89,7 +89,7 @@
     return routed->timing->model;
 }
 
-Configuration::NamedVersions const* VersionGoals::named(std::string const& service) const
+Configuration::NamedVersions const* VersionGoals::named_versions(std::string const& service) const
 {
     auto const model = model_of(service);
     if (!model)
@@ -100,24 +100,24 @@
 
 int64_t VersionGoals::newest(std::string const& service) const
 {
-    auto const* versions = named(service);
+    auto const* versions = named_versions(service);
     return versions ? versions->newest() : 0;
 }
 
-std::optional<int64_t> VersionGoals::required(std::string const& service, Core::Duration version_bound, Core::Time now) const
+std::optional<int64_t> VersionGoals::required(std::string const& service, Core::Duration version_time_limit, Core::Time now) const
 {
-    auto const* versions = named(service);
+    auto const* versions = named_versions(service);
     if (!versions)
         return {};
     // Until the stored versions have been read, the time limit of a version that was found may have passed long ago.
-    auto const found_by = m_knows_past() ? now - found_grace : now;
-    auto const required = versions->newest_of(now - (version_bound - version_margin), found_by);
+    auto const found_by = m_has_read_stored_versions() ? now - found_grace : now;
+    auto const required = versions->newest_of(now - (version_time_limit - version_start_margin), found_by);
     if (required == 0)
         return {};
     return required;
 }
 
-void VersionGoals::log_required(Core::Duration version_bound, Core::Time now)
+void VersionGoals::log_required_changes(Core::Duration version_time_limit, Core::Time now)
 {
     auto const& configuration = m_facts.configuration();
     if (!configuration)
@@ -125,10 +125,10 @@
     for (auto const& service : configuration->services) {
         if (!service.timing)
             continue;
-        auto const version = required(service.name, version_bound, now).value_or(0);
+        auto const version = required(service.name, version_time_limit, now).value_or(0);
         if (std::exchange(m_logged_required[service.name], version) == version)
             continue;
-        auto const* versions = named(service.name);
+        auto const* versions = named_versions(service.name);
         auto const* known = versions ? versions->find(version) : nullptr;
         Core::log_event(Core::LogLevel::Info, "version_required", { { "service", service.name }, { "model", service.timing->model }, { "version", std::to_string(version) }, { "named_at_most_ms_ago", known && known->named ? std::to_string((now - *known->named).count()) : "unknown" }, { "found_ms_ago", known ? std::to_string((now - known->found).count()) : "" } });
     }
--- a/Services/DirectEntry/VersionGoals.h
+++ b/Services/DirectEntry/VersionGoals.h
@@ -17,21 +17,21 @@
 /// which version requests require by now.
 ///
 /// A version is named by a record of the operator in the platform's log. Engines may serve the previous version until the time limit
-/// of the settings (`version_bound`) after that has passed; requests require the new version from 1.5 s before this limit on.
+/// of the settings (`version_time_limit`) after that has passed; requests require the new version from 1.5 s before this limit on.
 class VersionGoals {
 public:
     /// @param facts must outlive this object.
-    /// @param knows_past returns whether the versions that earlier processes stored have been read.
-    VersionGoals(Configuration::FactReplica const& facts, std::function<bool()> knows_past)
+    /// @param has_read_stored_versions returns whether the versions that earlier processes stored have been read.
+    VersionGoals(Configuration::FactReplica const& facts, std::function<bool()> has_read_stored_versions)
         : m_facts(facts)
-        , m_knows_past(std::move(knows_past))
+        , m_has_read_stored_versions(std::move(has_read_stored_versions))
     {
     }
 
     /// Returns the goal of each service whose engines serve a model. Empty before a configuration has been read.
     ///
     /// The age in a goal is the time since its version was named, as far as that is known; the version is 1 if none was named.
-    std::vector<Schema::WeightsGoal> goals(Core::Duration version_bound, Core::Time now) const;
+    std::vector<Schema::WeightsGoal> goals(Core::Duration version_time_limit, Core::Time now) const;
 
     /// True if a version of the model was named; false if its goal is the initial version 1.
     bool is_named(std::string const& model) const { return m_facts.versions().contains(model); }
@@ -43,20 +43,20 @@
     int64_t newest(std::string const& service) const;
 
     /// The version that an engine of the service must serve by now; std::nullopt while any version will do.
-    std::optional<int64_t> required(std::string const& service, Core::Duration version_bound, Core::Time now) const;
+    std::optional<int64_t> required(std::string const& service, Core::Duration version_time_limit, Core::Time now) const;
 
     /// Logs each change of a service's required version, with the time since that version was named and found.
-    void log_required(Core::Duration version_bound, Core::Time now);
+    void log_required_changes(Core::Duration version_time_limit, Core::Time now);
 
 private:
-    Schema::WeightsGoal goal(Schema::RoutedService const&, Core::Duration version_bound, Core::Time now) const;
+    Schema::WeightsGoal goal(Schema::RoutedService const&, Core::Duration version_time_limit, Core::Time now) const;
     std::string origin_address() const;
     bool may_evict(std::string const& service) const;
     std::vector<Schema::GoalPeer> peers(std::string const& service) const;
-    Configuration::NamedVersions const* named(std::string const& service) const;
+    Configuration::NamedVersions const* named_versions(std::string const& service) const;
 
     Configuration::FactReplica const& m_facts;
-    std::function<bool()> m_knows_past;
+    std::function<bool()> m_has_read_stored_versions;
     // The required version that was last logged, by service; 0 if none.
     std::map<std::string, int64_t> m_logged_required;
 };
--- a/Services/DirectEntry/WeightsCache.cpp
+++ b/Services/DirectEntry/WeightsCache.cpp
@@ -8,10 +8,10 @@
 
 namespace DirectEntry {
 
-static constexpr Core::Duration turn_interval { 50 };
+static constexpr Core::Duration update_interval { 50 };
 // No transfer starts before this time has passed, in which a new entry is linked to the others. Without the wait it would know no
 // other entry and read the whole copy from the origin: after a power loss entries read 2.4 copies in all instead of one.
-static constexpr Core::Duration acquaintance { 500 };
+static constexpr Core::Duration entry_link_time { 500 };
 static constexpr size_t origin_fetches_in_flight = 2;
 // Few instances read from the origin, so that each chunk arrives early and whole.
 static constexpr size_t seeders = 4;
@@ -38,16 +38,16 @@
     , m_origin(origin)
     , m_callbacks(std::move(callbacks))
     , m_started_at(Core::monotonic_now())
-    , m_turn_timer(loop.every(turn_interval, [this] { turn(); }))
+    , m_update_timer(loop.every(update_interval, [this] { advance_transfers(); }))
 {
 }
 
 WeightsCache::~WeightsCache() = default;
 
-void WeightsCache::turn()
+void WeightsCache::advance_transfers()
 {
     auto const now = Core::monotonic_now();
-    if (now - m_started_at < acquaintance)
+    if (now - m_started_at < entry_link_time)
         return;
     for (auto& [model, copy] : m_copies) {
         copy.goal->take_next();
--- a/Services/DirectEntry/WeightsCache.h
+++ b/Services/DirectEntry/WeightsCache.h
@@ -68,7 +68,7 @@
         std::unique_ptr<Weights::ChunkServer> server;
     };
 
-    void turn();
+    void advance_transfers();
     Copy& copy_of(std::string const& model);
     /// Whether some engine of the copy's service serves an older version than this one.
     bool is_wanted(Copy const&, int64_t version) const;
@@ -82,7 +82,7 @@
     Core::Time m_started_at;
     // Copies by model.
     std::map<std::string, Copy> m_copies;
-    std::unique_ptr<Core::Timer> m_turn_timer;
+    std::unique_ptr<Core::Timer> m_update_timer;
 };
 
 }
