--- a/Services/DirectEntry/BackendAttempt.h
+++ b/Services/DirectEntry/BackendAttempt.h
@@ -47,7 +47,7 @@
     /// When bytes were last received, or the connection was established; the time of sending before that.
     Core::Time last_received_at() const { return m_last_received_at; }
     void on_bytes_received(Moment);
-    /// Whether nothing was received from the server for `patience`. To be called in each iteration of the event loop: silence counts
+    /// Whether nothing was received from the server for `silence_limit`. To be called in each iteration of the event loop: silence counts
     /// from the second call in a row on, as bytes that lay unread at the first have been read by then.
     bool check_silence(Core::Time running_now, Core::Duration silence_limit) { return m_silence.look(running_now, silence_limit); }
     /// Running time since bytes were last received.
--- a/Services/DirectEntry/CrashDetector.cpp
+++ b/Services/DirectEntry/CrashDetector.cpp
@@ -26,8 +26,8 @@
 
 void CrashDetector::check_terminated(std::string const& server, std::string const& address, std::function<void(bool)> callback)
 {
-    auto const ended = m_terminated_at.find(server);
-    if (ended != m_terminated_at.end() && Core::monotonic_now() - ended->second < termination_remembered_for) {
+    auto const terminated = m_terminated_at.find(server);
+    if (terminated != m_terminated_at.end() && Core::monotonic_now() - terminated->second < termination_remembered_for) {
         callback(true);
         return;
     }
--- a/Services/DirectEntry/CrashDetector.h
+++ b/Services/DirectEntry/CrashDetector.h
@@ -79,9 +79,12 @@
         std::vector<std::function<void(bool)>> callbacks;
     };
 
+    /// Passes the result of a connection attempt to all that wait for it.
     void finish_check(std::string const& server, bool has_terminated);
+    /// Returns the message under construction, which is sent in the next iteration of the event loop.
     Schema::CrashNews& pending_news();
     void send_pending_news();
+    /// Logs, counts and stores newly blamed requests. `source` is a metric label: `own`, `entry` or `store`.
     void report_blamed(std::vector<std::string> const& digests, char const* source);
     void clear(std::string const& digest, char const* reason);
 
--- a/Services/DirectEntry/DirectEntry.cpp
+++ b/Services/DirectEntry/DirectEntry.cpp
@@ -113,7 +113,7 @@
         .newest_version = [this](std::string const& service) { return m_goals.newest(service); },
         .returning = m_returning,
         .service_queue = [this](std::string const& service) -> Routing::ServiceLine& { return m_service_queues.try_emplace(service, queue_limit).first->second; },
-        .request_admitted = [this](std::string const& service) { m_sharing.on_asked(service); },
+        .request_admitted = [this](std::string const& service) { m_sharing.count_request(service); },
         .server_list_doubted = [this] { m_facts.on_servers_doubted(); },
         .request_over = [this](uint64_t number) { m_loop.soon([this, number] { m_requests.erase(number); }); } }
 {
@@ -386,8 +386,8 @@
     for (auto const& [ip, is_used] : uses) {
         if (!m_followed.contains(ip) || !m_hub->is_up(ip))
             continue;
-        auto const [told, is_new] = m_sent_engine_use.try_emplace(ip, is_used);
-        if (!is_new && std::exchange(told->second, is_used) == is_used)
+        auto const [last_sent, is_new] = m_sent_engine_use.try_emplace(ip, is_used);
+        if (!is_new && std::exchange(last_sent->second, is_used) == is_used)
             continue;
         Schema::Message message;
         message.engine_use.emplace();
--- a/Services/DirectEntry/DirectEntry.h
+++ b/Services/DirectEntry/DirectEntry.h
@@ -50,8 +50,8 @@
     /// not before 3 s have passed. Requests in flight 0.5 s before the end of the settings' grace period are refused or aborted.
     void drain();
 
-    /// Applies the bounds and seeds of settings that were read again; logs an error if they could not be read. The log says whether
-    /// addresses changed, which takes a restart.
+    /// Applies the seeds and the bounds `version_ms` and `grace_s` of settings that were read again; the other bounds take effect at a
+    /// restart. Logs an error if the settings could not be read, and whether addresses changed, which takes a restart too.
     void reload(Core::ErrorOr<Schema::DirectEntrySettings> const&);
 
 private:
@@ -64,14 +64,23 @@
     void on_link_up(Schema::Hello const&);
     void on_link_message(Schema::Hello const&, Schema::Message const&);
     void on_link_down(std::string const& identity);
+    /// Drops all links and reads the facts again after the process resumed from a pause of at least the links' keep-alive limit.
     void handle_pause(Core::Duration paused_for);
+    /// Earliest time at which a request that is read now can have arrived.
     Core::Time arrival_time();
+    /// The agent at this IP address reports that its engine holds another version than before.
     void on_engine_version(std::string const& ip, int64_t version);
+    /// Sends the log position, or once per EngineSharing::interval the request rates, to the other entries, and updates the links.
     void check_links();
+    /// Assigns the engines to the entries anew.
     void update_roles(Core::Time now);
+    /// Notifies the agents whose engines this entry has begun or ceased to use.
     void send_engine_use();
+    /// Connects to the wanted entries, seeds and agents, and drops other links that this entry opened.
     void update_links();
+    /// The listed backend servers that are engines, with their IP address as id.
     std::vector<Routing::SharedEngine> listed_engines() const;
+    /// Sends the newly linked entries to the others, some of which must connect to them.
     void announce_new_entries();
 
     Platform::Distance distance(std::string const& entry) const;
@@ -83,14 +92,17 @@
     void create_weights_cache();
     /// Time within which engines must serve a version after it was named.
     Core::Duration version_time_limit() const { return Core::Duration(m_settings.bounds.version_ms); }
+    /// Whether the configuration was not known to be current within the last 4 s.
     bool is_stale() const;
     bool is_ready() const;
 
     void on_request(std::shared_ptr<Transport::IngressRequest>);
     std::function<void(std::string const& entry, Schema::Message const&)> sender_to_capable_entries();
     CrashDetector::Callbacks crash_callbacks();
+    /// Lets waiting requests try again to find a slot, in the order of their queues.
     void offer_slots();
     void tick();
+    /// Stops the event loop once draining is complete or the grace period nearly over.
     void finish_drain();
     void reply_suspects(Transport::HttpExchange&);
     void on_internal_request(std::shared_ptr<Transport::HttpExchange> const&);
--- a/Services/DirectEntry/EngineSharing.h
+++ b/Services/DirectEntry/EngineSharing.h
@@ -27,7 +27,7 @@
     EngineSharing(std::string identity, std::string failure_domain);
 
     /// Counts one request of a caller for the service.
-    void on_asked(std::string const& service) { m_request_counts[service] += 1; }
+    void count_request(std::string const& service) { m_request_counts[service] += 1; }
 
     /// Stores the request rates that another entry sent.
     /// @return true if none were known of that entry before.
@@ -52,6 +52,7 @@
     std::map<std::string, Schema::EntryLoad> const& peer_loads() const { return m_peer_loads; }
 
 private:
+    /// This entry and the linked ones, each with its request rate for the service.
     std::vector<Routing::SharingEntry> entries_with_demand(std::string const& service) const;
 
     std::string m_identity;
--- a/Services/DirectEntry/EntryFacts.h
+++ b/Services/DirectEntry/EntryFacts.h
@@ -91,10 +91,12 @@
     Platform::FactFollower::Callbacks follower_callbacks();
     Platform::KeptVersions::Callbacks kept_callbacks();
     void on_changed(Configuration::FactChanges const&);
+    /// Merges known versions into the replica, and reports and stores what changed.
     void apply_known_versions(std::vector<Configuration::KnownVersion> const&);
     void on_failing(Configuration::FactTopic, Platform::FactLogFault);
     void on_regained(Configuration::FactTopic, Core::Duration lost_for);
     Schema::Message request() const;
+    /// Requests what an entry knows of versions, from two entries at most.
     void request_versions(std::string const& entry);
     bool may_request_again(std::string const& entry, Core::Time now);
 
--- a/Services/DirectEntry/PeerCapabilities.cpp
+++ b/Services/DirectEntry/PeerCapabilities.cpp
@@ -6,7 +6,7 @@
 
 namespace DirectEntry {
 
-static constexpr Core::Duration answer_patience { 1000 };
+static constexpr Core::Duration query_timeout { 1000 };
 static constexpr int status_ok = 200;
 
 std::string PeerCapabilities::capabilities()
@@ -42,7 +42,7 @@
     call.address = entry;
     call.port = static_cast<uint16_t>(*m_port);
     call.path = std::string(path);
-    call.timeout = answer_patience;
+    call.timeout = query_timeout;
     m_client.call(call, [this, entry](auto const& answer) {
         auto const known = m_answers.find(entry);
         if (known == m_answers.end())
--- a/Services/DirectEntry/ProxiedRequest.cpp
+++ b/Services/DirectEntry/ProxiedRequest.cpp
@@ -25,17 +25,21 @@
 static constexpr int status_unavailable = 503;
 static constexpr int status_gateway_timeout = 504;
 
+// Time limit of a request whose caller names no deadline; the route's timeout may be shorter.
 static constexpr Core::Duration default_time_allowed { 30000 };
 // Allowance for the time that a first event takes from here to the caller, and for the median error of a prediction.
 static constexpr Core::Duration answer_margin { 20 };
-static constexpr Core::Duration connect_timeout { 300 };
+static constexpr Core::Duration max_connect_time { 300 };
+// Nothing received for this multiple of the route's objective, and at least for the minimum, makes a server count as silent.
 static constexpr Core::Duration min_silence_limit { 900 };
 static constexpr double silence_limit_per_objective = 2.5;
 // Factor on the silence limit while the server answers other requests: this one waits behind them, and sending it elsewhere would only
 // add to the load.
 static constexpr int64_t silence_factor_while_answering = 2;
 static constexpr Core::Duration retry_after_when_unready { 300 };
+// Bytes of a stream that may wait for a slow caller before its answer is aborted.
 static constexpr size_t max_undelivered_bytes = size_t { 1 } << 20;
+// Longest body of an answer that is passed on as a whole.
 static constexpr size_t max_buffered_answer_bytes = size_t { 8 } << 20;
 
 static std::string milliseconds(Core::Duration duration)
@@ -204,8 +208,8 @@
     std::set<std::string> tried;
     for (auto const& [id, started_at_ms] : m_tried_servers) {
         auto const latest = m_context.servers.started_at_ms(id);
-        bool const has_started_again = started_at_ms && latest && *started_at_ms < *latest;
-        if (!has_started_again)
+        bool const has_restarted = started_at_ms && latest && *started_at_ms < *latest;
+        if (!has_restarted)
             tried.insert(id);
     }
     return tried;
@@ -290,7 +294,7 @@
     Transport::BackendCallRequest call;
     std::tie(call.address, call.port) = Transport::split_address(m_attempt->target().address);
     call.bytes = m_context.heads.write_request(m_caller->head(), m_caller->body(), terms);
-    call.connect_timeout = std::min(connect_timeout, terms.remaining);
+    call.connect_timeout = std::min(max_connect_time, terms.remaining);
     if (m_caller->head().method == "HEAD")
         call.body_expectation = Transport::BodyExpectation::None;
     // The attempt owns the call, so no callback outlives the attempt.
@@ -353,7 +357,7 @@
     bool has_gap = false;
     for (auto const& event : events) {
         auto const id = m_context.heads.event_id(event);
-        // An event that the caller already has is skipped; an event after a gap does not belong to this answer.
+        // An event that the caller already has is not delivered twice; an event after a gap does not belong to this answer.
         if (id && m_last_event && *id <= *m_last_event)
             continue;
         has_gap = id && *id != m_last_event.value_or(*id - 1) + 1;
@@ -479,11 +483,11 @@
         auto self = weak.lock();
         auto broken = attempt.lock();
         if (self && broken && !self->is_over())
-            self->on_asked(*broken, has_terminated);
+            self->on_server_checked(*broken, has_terminated);
     });
 }
 
-void ProxiedRequest::on_asked(BackendAttempt& attempt, bool has_terminated)
+void ProxiedRequest::on_server_checked(BackendAttempt& attempt, bool has_terminated)
 {
     if (is_current(attempt)) {
         if (m_phase != Phase::CheckingServer)
@@ -660,9 +664,9 @@
 
 void ProxiedRequest::take_step(NextStep step, SendEnd attempt_outcome)
 {
-    bool const goes_on = step == NextStep::SendAgain || step == NextStep::Resume;
+    bool const is_sent_again = step == NextStep::SendAgain || step == NextStep::Resume;
     bool const has_answer = step == NextStep::PassFailure;
-    if (!goes_on && !has_answer && return_to_silent_attempt())
+    if (!is_sent_again && !has_answer && return_to_silent_attempt())
         return;
     switch (step) {
     case NextStep::SendAgain:
--- a/Services/DirectEntry/ProxiedRequest.h
+++ b/Services/DirectEntry/ProxiedRequest.h
@@ -59,15 +59,20 @@
         Over,
     };
 
+    /// Finds the route and customer by the configuration; refuses the request and returns false if it is not admitted.
     bool admit();
     void refuse_denied(Routing::RouteDenial);
     void set_terms();
+    /// Sends to a server that is predicted to begin the answer within the route's objective.
     bool try_send_in_time(Core::Time now);
+    /// Sends without that condition, once the objective can no longer be met.
     bool try_send_late(Core::Time now);
+    /// Joins the queue of the service, or refuses the request if waiting is hopeless or the queue is full.
     void wait_for_slot();
     Routing::WaitingRequest waiting() const;
     void check_waiting(Core::Time now);
     void refuse_waiting(Core::Time now);
+    /// Whether the attempt is to be repeated because the server holds too old a version and has not begun to answer.
     bool is_outdated(BackendAttempt const&, Core::Time now) const;
     Routing::ServerNeeds needs();
     std::set<std::string> tried_servers() const;
@@ -79,25 +84,33 @@
     void on_data(BackendAttempt&, std::string_view);
     void on_done(BackendAttempt&);
     void on_failed(BackendAttempt&, Transport::CallFailure);
+    /// Checks whether the server terminated; on_server_checked() then ends the attempt.
     void on_broken_off(BackendAttempt&);
-    void on_asked(BackendAttempt&, bool has_terminated);
+    void on_server_checked(BackendAttempt&, bool has_terminated);
     void pass_events(BackendAttempt&, std::string_view);
     void deliver(BackendAttempt&, std::string const& events);
     void pass_whole_answer(BackendAttempt&);
+    /// Whether the answer has a success status, carries the backend server's own mark and belongs to this request.
     bool is_trusted_success(BackendAttempt const&) const;
     void on_failure_status(BackendAttempt&);
 
     bool is_current(BackendAttempt const& attempt) const { return m_attempt.get() == &attempt; }
     bool is_silent(BackendAttempt const&) const;
+    /// Keeps the current attempt as silent and tries another server.
     void try_beside_silent(Core::Time now);
+    /// Makes the attempt the current one and ends all others.
     void select_attempt(BackendAttempt&);
+    /// Makes the last silent attempt the current one again. @return false if there is none with an open call.
     bool return_to_silent_attempt();
     void end_silent_attempts();
     void end_silent_attempt(BackendAttempt&, Routing::SendEnd, Routing::ServerOutcome);
     void end_outdated_silent_attempts(Core::Time now);
 
+    /// Updates the counters of attempts.
     void count_outcome(Routing::SendEnd);
+    /// Ends the attempt and takes the next step: another attempt, a refusal, or an aborted answer.
     void end_attempt(BackendAttempt&, Routing::SendEnd, Routing::ServerOutcome);
+    /// Frees the slot of the current attempt and records how the server did.
     void report_server_outcome(Routing::ServerOutcome, Core::Time now);
     bool is_at_server() const { return m_phase == Phase::Sent || m_phase == Phase::CheckingServer; }
     Routing::RequestContent content() const;
@@ -108,8 +121,11 @@
     void send_again();
 
     void record_refused_caller();
+    /// Answers with a problem document; only while nothing was delivered.
     void refuse(int status, Refusal, std::optional<Core::Duration> retry_after);
+    /// Aborts an answer that was delivered in part, so that the caller notices.
     void abort_answer(Refusal);
+    /// Counts and logs the end of the request, and releases all that it holds.
     void finish(Refusal, int status);
 
     Core::Time deadline() const { return m_started + m_time_allowed; }
--- a/Services/DirectEntry/RequestSuspicion.h
+++ b/Services/DirectEntry/RequestSuspicion.h
@@ -18,6 +18,7 @@
     /// @param content returns the parts of the request that its digest covers.
     RequestSuspicion(CrashDetector&, std::function<Routing::RequestContent()> content);
 
+    /// The request's digest, computed at the first call.
     std::string const& digest();
     bool has_digest(std::string const& digest) { return this->digest() == digest; }
     /// Whether the request is clear, suspected, must run alone, or is blamed (refused, as servers kept terminating while they ran it).
@@ -28,6 +29,7 @@
     /// and one that must run alone is not sent to any server that runs a suspect, and prefers an idle one.
     void add_to(Routing::ServerNeeds&);
 
+    /// The request is being sent to this server.
     void on_sent(std::string const& server);
     /// The current attempt has ended, whatever its outcome.
     void on_send_over();
--- a/Services/DirectEntry/VersionGoals.h
+++ b/Services/DirectEntry/VersionGoals.h
@@ -51,6 +51,7 @@
 private:
     Schema::WeightsGoal goal(Schema::RoutedService const&, Core::Duration version_time_limit, Core::Time now) const;
     std::string origin_address() const;
+    /// Whether engines of the service may cut streams in order to load a version: all its routes must be resumable.
     bool may_evict(std::string const& service) const;
     std::vector<Schema::GoalPeer> peers(std::string const& service) const;
     Configuration::NamedVersions const* named_versions(std::string const& service) const;
