--- a/Services/DirectEntry/BackendAttempt.h
+++ b/Services/DirectEntry/BackendAttempt.h
@@ -47,8 +47,8 @@
     /// When bytes were last received, or the connection was established; the time of sending before that.
     Core::Time last_received_at() const { return m_last_received_at; }
     void on_bytes_received(Moment);
-    /// Whether nothing was received from the server for `silence_limit`. To be called in each iteration of the event loop: silence counts
-    /// from the second call in a row on, as bytes that lay unread at the first have been read by then.
+    /// Whether nothing was received from the server for `silence_limit`. To be called at most once in each iteration of the event loop:
+    /// silence counts from the second call in a row on, as bytes that lay unread at the first have been read by then.
     bool check_silence(Core::Time running_now, Core::Duration silence_limit) { return m_silence.look(running_now, silence_limit); }
     /// Running time since bytes were last received.
     Core::Duration silent_for(Core::Time running_now) const { return m_silence.lasts(running_now); }
@@ -58,7 +58,7 @@
 
     /// Whether the head of the answer was received.
     bool has_head() const { return m_has_head; }
-    /// The head of the answer; empty until has_head().
+    /// The head of the answer; default values while has_head() is false.
     Platform::BackendHead const& answer_head() const { return m_answer_head; }
     void on_head(Platform::BackendHead, Moment);
 
--- a/Services/DirectEntry/EntryFacts.h
+++ b/Services/DirectEntry/EntryFacts.h
@@ -66,6 +66,7 @@
 
     /// Time since both topics, the configuration and the list of backend servers, were last known to be current.
     Core::Duration age(Core::Time now) const { return m_follower.age(now); }
+    /// Time since the configuration was last known to be current.
     Core::Duration configuration_age(Core::Time now) const { return m_follower.configuration_age(now); }
 
     /// A backend server differs repeatedly from its entry in the list: reads the list again soon.
--- a/Services/DirectEntry/RequestContext.h
+++ b/Services/DirectEntry/RequestContext.h
@@ -22,8 +22,11 @@
 struct RequestContext {
     Core::EventLoop& loop;
     Core::Metrics& metrics;
+    /// Reads and writes the heads of requests and answers as the platform defines them.
     Platform::RequestHeads const& heads;
+    /// The backend servers and their load, for the choice of a server.
     Routing::ServerTable& servers;
+    /// The retry budget of each service.
     Routing::RetryShare& retries;
     CrashDetector& crashes;
     std::mt19937_64& random;
@@ -32,7 +35,8 @@
     std::shared_ptr<Routing::RouteTable const> routes;
     /// Whether the configuration read here may be out of date, as it was not known to be current for a while.
     std::function<bool()> is_stale;
-    /// False after a pause of the process until the facts have been read again; no request is sent meanwhile.
+    /// False after a pause of the process until the facts have been read again, or 3 s have passed without a source for them. No request
+    /// is sent meanwhile.
     std::function<bool()> are_facts_current;
     /// The earliest time at which a request that is read now can have arrived: after a pause of the process, the start of the pause.
     std::function<Core::Time()> arrival_time;
@@ -42,6 +46,7 @@
     std::function<std::optional<int64_t>(std::string const& service)> required_version;
     /// The newest named version of the service's model; 0 if none is named.
     std::function<int64_t(std::string const& service)> newest_version;
+    /// Recognises callers that repeat a request which this or another entry refused.
     Routing::ReturningCallers& returning;
     /// The queue of the requests that wait for a slot at the service.
     std::function<Routing::ServiceLine&(std::string const& service)> service_queue;
--- a/Services/DirectEntry/VersionGoals.h
+++ b/Services/DirectEntry/VersionGoals.h
@@ -43,6 +43,9 @@
     int64_t newest(std::string const& service) const;
 
     /// The version that an engine of the service must serve by now; std::nullopt while any version will do.
+    ///
+    /// A version that is not known to have been named before the time limit, but may have been, is required no sooner than 2.5 s after
+    /// it was found here, once the stored versions have been read.
     std::optional<int64_t> required(std::string const& service, Core::Duration version_time_limit, Core::Time now) const;
 
     /// Logs each change of a service's required version, with the time since that version was named and found.
