--- a/Services/DirectEntry/ProxiedRequest.h
+++ b/Services/DirectEntry/ProxiedRequest.h
@@ -1,9 +1,9 @@
 // SPDX-License-Identifier: BSD-2-Clause
 #pragma once
 
+#include "BackendAttempt.h"
 #include "RequestContext.h"
-#include "ServerSend.h"
-#include "SuspectedRequest.h"
+#include "RequestSuspicion.h"
 #include <LibPlatform/RequestHeads.h>
 #include <LibRouting/AnswerTerms.h>
 #include <LibRouting/AttemptPolicy.h>
@@ -17,8 +17,11 @@
 
 namespace DirectEntry {
 
-/// One caller's request, from its head to its single final answer. It reads from top to bottom:
-/// admitted, waiting for a place, sent, answered, or sent again; and then over.
+/// One caller's request, from its head to its single final answer.
+///
+/// The request is admitted or refused, waits for a slot at a backend server, and is sent there. If the attempt fails it is sent again
+/// where that is allowed. An attempt whose server is silent (no bytes received for the silence limit) is kept while another server
+/// is tried; the first attempt that continues the answer ends the others.
 class ProxiedRequest : public std::enable_shared_from_this<ProxiedRequest> {
 public:
     ProxiedRequest(RequestContext&, std::shared_ptr<Transport::IngressRequest>, uint64_t number);
@@ -26,20 +29,21 @@
     ProxiedRequest(ProxiedRequest const&) = delete;
     ProxiedRequest& operator=(ProxiedRequest const&) = delete;
 
-    /// Admits the request, or refuses it at once.
+    /// Admits the request and sends or queues it, or refuses it at once.
     void begin();
 
-    /// Offered a place: sends it if there is a backend server for it now.
-    /// @return false if there is none.
+    /// Sends the request if a backend server can be had for it now.
+    /// @return false if there is none and the request still waits; true if it was sent or is over.
     bool try_send();
 
-    /// Looks at the time: deadlines, silence, waiting too long.
+    /// Checks deadlines, silent servers and the time spent waiting. To be called every few tens of milliseconds.
     void tick(Core::Time now);
 
-    /// The process ends: what is not over by now is broken off.
-    void give_up();
+    /// The process is about to exit: refuses the request, or aborts its answer if part of it was delivered.
+    void end_at_shutdown();
 
-    /// A request is blamed for ending servers: if it is this one, it ends now.
+    /// The request with this digest was blamed, as backend servers kept terminating while they ran it. Refuses this request if the
+    /// digest is its own.
     void on_blamed(std::string const& digest);
 
     uint64_t number() const { return m_number; }
@@ -50,52 +54,65 @@
         Admitting,
         Waiting,
         Sent,
-        /// The answer broke off, and the server is asked whether it has ended.
-        Asking,
+        /// The answer broke off, and a connection attempt determines whether the server has terminated.
+        CheckingServer,
         Over,
     };
 
+    /// Finds the route and customer by the configuration; refuses the request and returns false if it is not admitted.
     bool admit();
     void refuse_denied(Routing::RouteDenial);
     void set_terms();
+    /// Sends to a server that is predicted to begin the answer within the route's objective.
     bool try_send_in_time(Core::Time now);
+    /// Sends without that condition, once the objective can no longer be met.
     bool try_send_late(Core::Time now);
-    void wait_for_place();
+    /// Joins the queue of the service, or refuses the request if waiting is hopeless or the queue is full.
+    void wait_for_slot();
     Routing::WaitingRequest waiting() const;
     void check_waiting(Core::Time now);
     void refuse_waiting(Core::Time now);
-    bool is_outdated(ServerSend const&, Core::Time now) const;
+    /// Whether the attempt is to be repeated because the server holds too old a version and has not begun to answer.
+    bool is_outdated(BackendAttempt const&, Core::Time now) const;
     Routing::ServerNeeds needs();
     std::set<std::string> tried_servers() const;
     void send_to(Routing::ServerChoice const&, Core::Time now);
     void start_call(Platform::BackendTerms const&);
     void end_call();
-    ServerSend::Moment moment(Core::Time now) const;
-
-    void on_data(ServerSend&, std::string_view);
-    void on_done(ServerSend&);
-    void on_failed(ServerSend&, Transport::CallFailure);
-    void on_broken_off(ServerSend&);
-    void on_asked(ServerSend&, bool has_ended);
-    void pass_events(ServerSend&, std::string_view);
-    void deliver(ServerSend&, std::string const& events);
-    void pass_whole_answer(ServerSend&);
-    bool is_trusted_success(ServerSend const&) const;
-    void on_failure_status(ServerSend&);
-
-    bool is_current(ServerSend const& send) const { return m_send.get() == &send; }
-    bool is_silent(ServerSend const&) const;
-    void look_beside_silent(Core::Time now);
-    void go_on_with(ServerSend&);
-    bool return_to_silent();
-    void leave_silent();
-    void end_silent_send(ServerSend&, Routing::SendEnd, Routing::ServerOutcome);
-    void drop_outdated_silent(Core::Time now);
-
-    void count_end(Routing::SendEnd);
-    void end_send(ServerSend&, Routing::SendEnd, Routing::ServerOutcome);
-    void leave_server(Routing::ServerOutcome, Core::Time now);
-    bool is_at_server() const { return m_phase == Phase::Sent || m_phase == Phase::Asking; }
+    BackendAttempt::Moment moment(Core::Time now) const;
+
+    void on_data(BackendAttempt&, std::string_view);
+    void on_done(BackendAttempt&);
+    void on_failed(BackendAttempt&, Transport::CallFailure);
+    /// Checks whether the server terminated; on_server_checked() then ends the attempt.
+    void on_broken_off(BackendAttempt&);
+    void on_server_checked(BackendAttempt&, bool has_terminated);
+    void pass_events(BackendAttempt&, std::string_view);
+    void deliver(BackendAttempt&, std::string const& events);
+    void pass_whole_answer(BackendAttempt&);
+    /// Whether the answer has a success status, carries the backend server's own mark and belongs to this request.
+    bool is_trusted_success(BackendAttempt const&) const;
+    void on_failure_status(BackendAttempt&);
+
+    bool is_current(BackendAttempt const& attempt) const { return m_attempt.get() == &attempt; }
+    bool is_silent(BackendAttempt const&) const;
+    /// Keeps the current attempt as silent and tries another server.
+    void try_beside_silent(Core::Time now);
+    /// Makes the attempt the current one and ends all others.
+    void select_attempt(BackendAttempt&);
+    /// Makes the last silent attempt the current one again. @return false if there is none with an open call.
+    bool return_to_silent_attempt();
+    void end_silent_attempts();
+    void end_silent_attempt(BackendAttempt&, Routing::SendEnd, Routing::ServerOutcome);
+    void end_outdated_silent_attempts(Core::Time now);
+
+    /// Updates the counters of attempts.
+    void count_outcome(Routing::SendEnd);
+    /// Ends the attempt and takes the next step: another attempt, a refusal, or an aborted answer.
+    void end_attempt(BackendAttempt&, Routing::SendEnd, Routing::ServerOutcome);
+    /// Frees the slot of the current attempt and records how the server did.
+    void report_server_outcome(Routing::ServerOutcome, Core::Time now);
+    bool is_at_server() const { return m_phase == Phase::Sent || m_phase == Phase::CheckingServer; }
     Routing::RequestContent content() const;
     bool refuse_if_blamed();
     Routing::AttemptState attempt_state(Core::Time now) const;
@@ -103,9 +120,12 @@
     void refuse_not_run();
     void send_again();
 
-    void remember_caller();
+    void record_refused_caller();
+    /// Answers with a problem document; only while nothing was delivered.
     void refuse(int status, Refusal, std::optional<Core::Duration> retry_after);
-    void break_off(Refusal);
+    /// Aborts an answer that was delivered in part, so that the caller notices.
+    void abort_answer(Refusal);
+    /// Counts and logs the end of the request, and releases all that it holds.
     void finish(Refusal, int status);
 
     Core::Time deadline() const { return m_started + m_time_allowed; }
@@ -124,34 +144,37 @@
     int64_t m_priority { 0 };
     int64_t m_configuration_version { 0 };
 
-    // The send under way, or the last one; null before the first.
-    std::shared_ptr<ServerSend> m_send;
-    // Sends whose servers fell silent while another one is looked for: the first whose answer goes on ends the others.
-    std::vector<std::shared_ptr<ServerSend>> m_silent;
-
-    // Over all sends.
-    // Backend servers that it was sent to, each with the start of the last such incarnation.
-    std::map<std::string, std::optional<int64_t>> m_tried;
-    int64_t m_sends { 0 };
-    int64_t m_misses { 0 };
-    // Sends to servers that ended.
-    int64_t m_ended_servers { 0 };
-    SuspectedRequest m_suspected;
+    // The current attempt, or the last one; null before the first.
+    std::shared_ptr<BackendAttempt> m_attempt;
+    // Attempts at silent servers, kept while another server is tried: the first whose answer continues ends the others.
+    std::vector<std::shared_ptr<BackendAttempt>> m_silent_attempts;
+
+    // Over all attempts:
+    // Backend servers that it was sent to, each with the start time of the last incarnation that was tried, Unix milliseconds.
+    std::map<std::string, std::optional<int64_t>> m_tried_servers;
+    // Attempts that reached a server, without those that the server reported as not run and those whose server terminated.
+    int64_t m_counted_attempts { 0 };
+    // Attempts that ended as not connected or not run.
+    int64_t m_unrun_attempts { 0 };
+    // Attempts at servers that terminated meanwhile.
+    int64_t m_terminated_servers { 0 };
+    RequestSuspicion m_suspicion;
     bool m_may_have_run { false };
     bool m_has_delivered { false };
     std::optional<int64_t> m_last_event;
     std::optional<Core::Duration> m_server_retry_after;
-    // When the caller first asked, as far as is known.
-    Core::Time m_first_asked { 0 };
+    // When the caller first sent this request, also to another entry that refused it, as far as is known.
+    Core::Time m_first_requested_at { 0 };
     Routing::AnswerTerms m_terms;
     Routing::PlaceWait m_wait;
-    // Why the last try found no backend server.
+    // Why no backend server could be chosen last.
     Routing::NoServer m_no_server { Routing::NoServer::NoneUsable };
     std::optional<Core::Duration> m_first_event_after;
-    // When events went to the caller last, and the longest time between two of these moments.
+    // When events were last delivered to the caller, by the steady clock.
     Core::Time m_delivered_at { 0 };
-    // The former by the clock that leaves out the time in which the process stood still.
-    Core::Time m_delivered_running { 0 };
+    // The same by the running-time clock, which leaves out pauses of the process.
+    Core::Time m_delivered_at_running { 0 };
+    // Longest time between two deliveries.
     Core::Duration m_longest_pause { 0 };
 };
 
--- /dev/null
+++ b/Services/DirectEntry/RequestSuspicion.h
@@ -0,0 +1,50 @@
+// SPDX-License-Identifier: BSD-2-Clause
+#pragma once
+
+#include "CrashDetector.h"
+#include <LibRouting/RequestDigest.h>
+#include <LibRouting/ServerTable.h>
+#include <functional>
+#include <optional>
+#include <string>
+
+namespace DirectEntry {
+
+/// Applies the crash suspicions to one request in flight: whether it may be sent, where, and alone or not.
+///
+/// The digest that names the request is computed on first use only: never while there are no suspects and no server terminates.
+class RequestSuspicion {
+public:
+    /// @param content returns the parts of the request that its digest covers.
+    RequestSuspicion(CrashDetector&, std::function<Routing::RequestContent()> content);
+
+    /// The request's digest, computed at the first call.
+    std::string const& digest();
+    bool has_digest(std::string const& digest) { return this->digest() == digest; }
+    /// Whether the request is clear, suspected, must run alone, or is blamed (refused, as servers kept terminating while they ran it).
+    Routing::CrashStanding standing();
+    /// Whether a copy of the request may be sent from this entry now. A suspect is sent one copy at a time.
+    bool may_send();
+    /// Adds the servers to avoid or exclude: a clear request avoids servers that run a suspect alone, a suspect is not sent to them,
+    /// and one that must run alone is not sent to any server that runs a suspect, and prefers an idle one.
+    void add_to(Routing::ServerNeeds&);
+
+    /// The request is being sent to this server.
+    void on_sent(std::string const& server);
+    /// The current attempt has ended, whatever its outcome.
+    void on_send_over();
+    /// The server of the current attempt terminated while it ran the request.
+    void on_terminated_while_running(std::string const& incarnation);
+    /// The request ran to completion: it is no suspect any more.
+    void on_run_completed();
+
+private:
+    bool has_suspects() const { return !m_crashes.suspects().is_empty(); }
+
+    CrashDetector& m_crashes;
+    std::function<Routing::RequestContent()> m_content;
+    std::optional<std::string> m_digest;
+    Routing::CrashSend m_sent { Routing::CrashSend::Free };
+};
+
+}
--- a/Services/DirectEntry/WeightsCache.cpp
+++ b/Services/DirectEntry/WeightsCache.cpp
@@ -8,12 +8,12 @@
 
 namespace DirectEntry {
 
-static constexpr Core::Duration turn_interval { 50 };
-// An entry that has just started would be the only one that it knows of, and read all from the origin: after a loss of power
-// entries so read 2.4 copies instead of one. Within this it is linked to the others.
-static constexpr Core::Duration acquaintance { 500 };
+static constexpr Core::Duration update_interval { 50 };
+// No transfer starts before this time has passed, in which a new entry is linked to the others. Without the wait it would know no
+// other entry and read the whole copy from the origin: after a power loss entries read 2.4 copies in all instead of one.
+static constexpr Core::Duration entry_link_time { 500 };
 static constexpr size_t origin_fetches_in_flight = 2;
-// Few read from the origin, so that each chunk comes early and whole.
+// Few instances read from the origin, so that each chunk arrives early and whole.
 static constexpr size_t seeders = 4;
 static constexpr size_t uploads_at_once = 4;
 static constexpr size_t waiting_uploads = 128;
@@ -38,16 +38,16 @@
     , m_origin(origin)
     , m_callbacks(std::move(callbacks))
     , m_started_at(Core::monotonic_now())
-    , m_turn_timer(loop.every(turn_interval, [this] { turn(); }))
+    , m_update_timer(loop.every(update_interval, [this] { advance_transfers(); }))
 {
 }
 
 WeightsCache::~WeightsCache() = default;
 
-void WeightsCache::turn()
+void WeightsCache::advance_transfers()
 {
     auto const now = Core::monotonic_now();
-    if (now - m_started_at < acquaintance)
+    if (now - m_started_at < entry_link_time)
         return;
     for (auto& [model, copy] : m_copies) {
         copy.goal->take_next();
