--- a/Libraries/LibRouting/EngineFollowers.cpp
+++ b/Libraries/LibRouting/EngineFollowers.cpp
@@ -17,7 +17,7 @@
     return is_same_region ? Distance::SameRegion : Distance::OtherRegion;
 }
 
-/// Whoever has the lower key follows first.
+/// Sort key of an entry among the candidate followers of an engine. The entries with the lowest keys follow it.
 static std::pair<Distance, uint64_t> follower_key(SharingEntry const& entry, SharedEngine const& engine, Regions const& regions)
 {
     return { distance_between(entry.failure_domain, engine.failure_domain, regions), Core::stable_hash(engine.id, entry.identity) };
--- a/Libraries/LibRouting/EngineOwners.cpp
+++ b/Libraries/LibRouting/EngineOwners.cpp
@@ -8,14 +8,14 @@
 
 namespace Routing {
 
-// A quiet entry still gets a part, so that it can serve at once when callers come.
+// Requests per second. An entry without demand counts with this much, so that it owns engines and can serve as soon as callers come.
 static constexpr double least_demand = 1;
 
 namespace {
 
     struct Share {
         SharingEntry const* entry;
-        // Engines that its demand calls for, less those that it has.
+        // Number of engines that the entry's demand entitles it to, less those already assigned to it.
         double lacks;
     };
 
@@ -47,7 +47,8 @@
     shares.reserve(entries.size());
     for (auto const& entry : entries)
         shares.push_back({ &entry, std::max(least_demand, entry.demand) / total * static_cast<double>(engines.size()) });
-    // Near engines first, to entries that lack more than half of one; what is left goes to whoever lacks most.
+    // First assigns engines to entries of the same failure domain whose deficit exceeds half an engine. The remaining engines go to the
+    // entries with the greatest deficit in any domain.
     std::vector<SharedEngine const*> left;
     for (auto const& engine : engines) {
         auto* near = neediest(shares, &engine.failure_domain);
@@ -66,11 +67,12 @@
     return owners;
 }
 
-/// The entry is among the first that turn to the engine: near ones first, then by rendezvous hash.
+/// Whether the entry is one of the helpers_per_engine helpers of the engine: those of the engine's failure domain first, then by
+/// rendezvous hash.
 static bool is_helper(SharingEntry const& entry, SharedEngine const& engine, std::string const& owner, std::vector<SharingEntry> const& entries)
 {
     auto const key_of = [&engine](SharingEntry const& candidate) {
-        // The greater hash goes first.
+        // Tuples are compared in ascending order, so the inverted hash puts the greatest hash first.
         return std::tuple(candidate.failure_domain != engine.failure_domain, ~Core::stable_hash(engine.id, candidate.identity), std::string_view(candidate.identity));
     };
     auto const own_key = key_of(entry);
--- a/Libraries/LibRouting/EngineOwners.h
+++ b/Libraries/LibRouting/EngineOwners.h
@@ -8,43 +8,47 @@
 
 namespace Routing {
 
-/// An entry that shares the engines of a service, and what callers ask of it.
+/// One of the entries that share the engines of a service.
 struct SharingEntry {
     std::string identity;
     std::string failure_domain;
-    /// Requests a second.
+    /// Requests per second that callers send to this entry.
     double demand { 0 };
 };
 
+/// An engine that several entries send requests to.
 struct SharedEngine {
     std::string id;
     std::string failure_domain;
 };
 
-/// What an entry is to an engine.
+/// Role of an entry with regard to one engine: how readily the entry sends requests to it.
 enum class EngineRole {
-    /// Fills it.
+    /// Uses the engine at no penalty and fills all of its slots.
     Owner,
-    /// Turns to it first when its own engines are loaded.
+    /// Uses only spare slots of the engine, and prefers them to those of engines for which its role is Other.
     Helper,
-    /// Turns to it last.
+    /// Uses only spare slots of the engine, and only as a last resort.
     Other,
 };
 
-/// Entries that turn to an engine first when their own are loaded, beside its owner.
+/// Number of entries that have the role EngineRole::Helper for an engine.
 inline constexpr size_t helpers_per_engine = 2;
 
-/// Deals the engines of a service among the entries: each engine has one owner, each entry about as many as its part
-/// of the demand, and near ones first. All who hold the same facts come to the same result, so nobody has to agree.
+/// Assigns each engine of a service to one owner among the entries, and returns the owner's identity by engine id. The map is empty
+/// if there are no entries. Each entry owns a share of the engines about proportional to its demand, preferably in its own failure
+/// domain. The result depends on the arguments only, not on their order, so entries with the same input agree without coordination.
 ///
-/// An owner fills its engine; the others use it only while its agent reports room to spare. Without owners each entry
-/// would take the same free place, and the engine would hold a queue that no entry sees in time.
+/// The owner fills its engine; the other entries use it only while its agent reports spare slots. Without owners, several entries
+/// would take the same free slot at once, and the engine would build up a queue that no entry sees in time.
 std::map<std::string, std::string> engine_owners(std::vector<SharingEntry> entries, std::vector<SharedEngine> engines);
 
-/// What an entry is to each engine: the owner, one of a few helpers, or neither.
+/// Returns the role of `entry`, given by its identity, for each engine by engine id. An engine for which it is neither owner nor
+/// helper is missing from the map: the role is EngineRole::Other.
 ///
-/// All entries that are loaded see the same engine idle before any of them hears what the others sent there. With few
-/// helpers for each engine, the same for all who hold the same facts, only those meet; near ones go first.
+/// All loaded entries see the same engine idle before any of them learns what the others have just sent to it. Each engine therefore
+/// has only helpers_per_engine helpers, so that only those can collide there. Entries with the same input agree on the helpers.
+/// Entries in the engine's failure domain are preferred.
 std::map<std::string, EngineRole> engine_roles(std::string const& entry, std::vector<SharingEntry> const& entries, std::vector<SharedEngine> const& engines);
 
 }
--- a/Libraries/LibRouting/EngineTimes.cpp
+++ b/Libraries/LibRouting/EngineTimes.cpp
@@ -8,16 +8,16 @@
 static constexpr double thousand = 1000;
 static constexpr double million = 1e6;
 
-// An ordinary engine, for rates that are not stated: the order of magnitude of the engines that were met, rounded.
+// Defaults for rates that are not configured: the rounded order of magnitude of the engines seen so far.
 static constexpr double ordinary_slots = 8;
 static constexpr double ordinary_step_ms = 10;
 static constexpr double ordinary_prompt_tokens_per_second = 20000;
 static constexpr double ordinary_prompt_tokens = 1000;
 static constexpr double ordinary_answer_tokens = 100;
 
-// Each first event moves the correction by this part of what it shows; some twenty make it.
+// Weight of one observation in the moving average of the correction, which adapts within some twenty first events.
 static constexpr double correction_weight = 0.1;
-// A first event that waited for a frozen engine says nothing about the rates.
+// Limits of the correction that one observation can show: a first event that waited for a frozen engine says nothing about the rates.
 static constexpr double least_correction = 0.1;
 static constexpr double greatest_correction = 10;
 
@@ -55,7 +55,7 @@
 
 double EngineTimes::service_ms(double prompt_tokens, double answer_tokens) const
 {
-    // The reading of others' prompts slows each token by the same share.
+    // Prefill of other requests slows each generated token by the same share.
     auto const per_token = full_service_ms() / std::max(1.0, m_usual_answer);
     return read_ms(prompt_tokens) + answer_tokens * per_token;
 }
@@ -64,7 +64,7 @@
 {
     if (predicted_ms <= 0)
         return;
-    // What was predicted holds the correction of then.
+    // The prediction includes the correction of that time.
     auto const shown = std::clamp(m_correction * observed_ms / predicted_ms, least_correction, greatest_correction);
     m_correction += correction_weight * (shown - m_correction);
 }
--- a/Libraries/LibRouting/EngineTimes.h
+++ b/Libraries/LibRouting/EngineTimes.h
@@ -7,33 +7,38 @@
 
 namespace Routing {
 
-/// How long an engine of a service takes for what, by the service's timing model. All times are milliseconds.
+/// Timing model of the engines of one service: predicts how long prefill, decoding and whole requests take. All times are in
+/// milliseconds.
 ///
-/// The operator states the model's rates. One that is not stated is taken as an ordinary engine's, and what is then
-/// predicted is corrected by the first events that are seen.
+/// The operator configures the model's rates. A rate that is not configured takes the default of an ordinary engine, and correction()
+/// then adjusts the predictions by the observed times to the first event of an answer.
 class EngineTimes {
 public:
     explicit EngineTimes(Schema::EngineTiming const&);
 
-    /// Reading a prompt.
+    /// Prefill time of a prompt of so many tokens on an otherwise idle engine.
     double read_ms(double tokens) const;
+    /// Prefill time of a prompt of the usual size.
     double read_usual_ms() const { return read_ms(m_usual_prompt); }
-    /// One token for each of the requests that run.
+    /// Time of one decoding step, which generates one token for each of the `running` requests.
     double step_ms(double running) const;
-    /// The steps between two events of a stream.
+    /// Time between two events of an answer's stream: an event carries the tokens of several decoding steps.
     double pass_ms(double running) const { return m_stride * step_ms(running); }
-    /// A request of the usual size at a full engine, the reading of others' prompts in between included.
+    /// Time that a request with a prompt and an answer of the usual size takes at a full engine. Includes the time in which the engine
+    /// reads the prompts of other requests.
     double full_service_ms() const;
-    /// A request of a size at a full engine, likewise.
+    /// As full_service_ms(), for a request with a prompt and an answer of the given size.
     double service_ms(double prompt_tokens, double answer_tokens) const;
-    /// Mean time between two requests that end at a full engine.
+    /// Mean time between two requests that end at a full engine, and so between two slots that become free.
     double turnover_ms() const { return full_service_ms() / m_slots; }
-    /// Requests that run at once.
+    /// Number of requests that the engine runs at once.
     double slots() const { return m_slots; }
 
-    /// A first event came so long after its request was sent, where the model said otherwise.
+    /// Adjusts correction() by the time from sending a request to the first event of its answer.
+    /// @param predicted_ms the prediction for this request, with the correction of that time; ignored if not positive.
     void on_first_event(double predicted_ms, double observed_ms);
-    /// Factor by which what the model says is to be taken; 1 where the operator stated every rate.
+    /// Factor by which the caller multiplies the predictions of this class, which don't include it. It is 1 if the operator configured
+    /// every rate.
     double correction() const { return m_is_stated ? 1 : m_correction; }
 
 private:
--- a/Libraries/LibRouting/FollowedEngines.cpp
+++ b/Libraries/LibRouting/FollowedEngines.cpp
@@ -5,11 +5,11 @@
 
 namespace Routing {
 
-// An entry that has just started knows no others yet, and would follow all engines: for this long it follows a few near
-// ones. Other entries are heard of within a round trip or two of the first link, which takes some 100 ms.
+// An entry that has just started knows no other entries yet, and would follow all engines. For this long it follows a few of the
+// nearest engines only. It learns of other entries within one or two round trips of its first link, which takes some 100 ms.
 static constexpr Core::Duration acquaintance { 1500 };
 static constexpr size_t engines_before_acquaintance = 64;
-// Whom engines are dealt to changes with the demand of each second: a link outlasts a few such changes.
+// The owners of engines change with the demand, every second. Links are kept for a few such changes.
 static constexpr Core::Duration use_memory { 5000 };
 
 FollowedEngines::FollowedEngines(SharingEntry self, Regions regions)
--- a/Libraries/LibRouting/FollowedEngines.h
+++ b/Libraries/LibRouting/FollowedEngines.h
@@ -11,18 +11,20 @@
 
 namespace Routing {
 
-/// The engines whose agents this entry keeps a link to, by the IP number that agent and engine share: those that it is a
-/// follower of, and those that it fills or helps to fill wherever they are.
+/// Set of the engines that this entry follows, which means that it keeps a link to their agents. An engine is identified by the IP
+/// address that it shares with its agent. The set holds the engines that follows_engine() selects, and those that this entry uses as
+/// owner or helper (see EngineRole), at any distance.
 ///
-/// Of an engine that is not followed an entry knows only that it is listed, and sends nothing there.
+/// Of an engine that it doesn't follow, an entry only knows that the list of backend servers names it, and sends no requests to it.
 class FollowedEngines {
 public:
     FollowedEngines(SharingEntry self, Regions);
 
-    /// @param engines those that are listed, with the IP number as id.
-    /// @param entries those that are up, this one among them or not.
-    /// @param used IP numbers of the engines that this entry fills or helps to fill.
-    /// @return Whether any engine is followed from now on that was not, or the other way round.
+    /// Determines the set anew.
+    /// @param engines the engines in the list of backend servers, with the IP address as id.
+    /// @param entries the entries that are up, with or without this one.
+    /// @param used IP addresses of the engines that this entry is owner or helper of.
+    /// @return Whether the set has changed.
     bool update(std::vector<SharedEngine> engines, std::vector<SharingEntry> const& entries, std::set<std::string> const& used, Core::Time now);
 
     bool contains(std::string const& ip) const { return m_followed.contains(ip); }
@@ -31,9 +33,9 @@
 private:
     SharingEntry m_self;
     Regions m_regions;
-    // When engines were first listed here.
+    // When update() first received any engines.
     std::optional<Core::Time> m_listed_since;
-    // Engines that this entry fills or helps to fill, and until when they are followed for that.
+    // Engines that this entry is or recently was owner or helper of, and until when it follows them for that reason.
     std::map<std::string, Core::Time> m_used_until;
     std::set<std::string> m_followed;
 };
--- a/Libraries/LibRouting/InstanceTable.cpp
+++ b/Libraries/LibRouting/InstanceTable.cpp
@@ -60,7 +60,7 @@
 
 size_t InstanceTable::load(State const& state) const
 {
-    // What others sent, as of the last report, and what we sent, as of now.
+    // Requests of other entries as of the last report, and requests of this entry as of now.
     auto const reported = static_cast<size_t>(std::max<int64_t>(0, state.report.in_flight));
     auto const others = reported > state.own_at_report ? reported - state.own_at_report : 0;
     return others + state.own_in_flight;
@@ -69,7 +69,7 @@
 double InstanceTable::pressure(State const& state) const
 {
     auto const capacity = std::max<double>(1, static_cast<double>(state.report.capacity));
-    // The backend server's own load breaks ties; it lags too much to lead.
+    // The load that the backend server measures itself only breaks ties: it is too delayed to decide.
     return static_cast<double>(load(state)) / capacity + 0.1 * state.report.engine_load;
 }
 
@@ -94,7 +94,8 @@
             continue;
         if (needs.home && *needs.home != id)
             continue;
-        // What others sent is as old as the last report: it weighs in the choice, but must not leave free slots unused.
+        // Only this entry's requests count here. The number of other entries' requests is as old as the last report: it influences
+        // the choice, but must not leave free slots unused.
         bool const is_full = state.own_in_flight >= static_cast<size_t>(std::max<int64_t>(0, state.report.capacity));
         if (is_full || state.is_held_back) {
             saw_busy = true;
@@ -105,7 +106,7 @@
         else
             ids.push_back(id);
     }
-    // With all ejected, a doubtful instance is better than none.
+    // If all candidates are ejected, one that may fail is better than none.
     if (ids.empty() && !saw_busy)
         return ejected;
     return ids;
@@ -136,7 +137,8 @@
     }
     if (!warmest.empty())
         return warmest;
-    // Nobody is known to have it: the rendezvous order sends its like to the same instance next time.
+    // No candidate below the load limit is known to have cached the prefix. The rendezvous order sends later requests with the same
+    // prefix to the same instance.
     for (auto const& id : Core::rendezvous_order(prefix, ids)) {
         if (fits(id))
             return id;
@@ -177,7 +179,7 @@
     if (state.own_in_flight > 0)
         state.own_in_flight -= 1;
     state.own_at_report = std::min(state.own_at_report, state.own_in_flight);
-    // A slot became free there.
+    // Other outcomes mean that a slot became free at the instance.
     if (outcome != InstanceOutcome::Neutral)
         state.is_held_back = false;
     if (outcome == InstanceOutcome::Success) {
@@ -192,7 +194,7 @@
         return;
     auto const doublings = std::min<size_t>(state.ejections++, 16);
     state.ejected_until = now + std::min(m_settings.longest_ejection, m_settings.first_ejection * (int64_t { 1 } << doublings));
-    // One more failure after it returns sends it out again.
+    // After the ejection ends, a single further failure ejects the instance again.
     state.failures = m_settings.failures_to_eject - 1;
 }
 
--- a/Libraries/LibRouting/InstanceTable.h
+++ b/Libraries/LibRouting/InstanceTable.h
@@ -13,66 +13,81 @@
 
 namespace Routing {
 
-/// What a request asks of the instance that serves it.
+/// Criteria by which InstanceTable::choose() selects the instance for a request.
 struct RouteNeeds {
     std::string service;
-    /// Model that must be served; nothing for a plain service.
+    /// Model that the instance must serve; std::nullopt for a service without a model.
     std::optional<std::string> model;
+    /// Version of the model that the instance must serve; std::nullopt if any will do.
     std::optional<std::string> version;
-    /// Hash of the prompt's leading part, where a cached prefix helps; empty otherwise.
+    /// Hash of the start of the prompt, if an instance with this prefix in its cache answers faster; empty otherwise.
     std::string prefix;
-    /// Instances that were tried already.
+    /// Instances that must not be chosen, as earlier attempts of the request went to them.
     std::set<std::string> excluded;
-    /// The only instance that will do, for a key that has a home.
+    /// The only instance that may be chosen, if the request's key is bound to one.
     std::optional<std::string> home;
 };
 
-/// How a request ended at an instance, as far as it says something about the instance.
+/// Outcome of a request at an instance, as far as it says something about the instance.
 enum class InstanceOutcome {
     Success,
-    /// It failed: the link broke, the backend server broke off or answered with a server error.
+    /// The link broke, or the backend server aborted its answer or answered with a server error.
     Failure,
-    /// Says nothing: refused as busy, or cancelled.
+    /// The instance refused the request as busy, or the request was cancelled: says nothing about the instance's health.
     Neutral,
 };
 
 struct InstanceTableSettings {
     Schema::Choice choice { Schema::Choice::Prefix };
-    /// An instance may have this many times the mean load before its warm prefix counts for less.
+    /// Limit of an instance's load, as a multiple of the mean load of all candidates. Above it, an instance is not preferred for a
+    /// cached prefix any more.
     double load_bound { 1.25 };
+    /// Number of failures in a row after which an instance is ejected: requests avoid it for a while.
     size_t failures_to_eject { 3 };
+    /// Duration of the first ejection. Each further one lasts twice as long, up to the longest, until a request succeeds.
     Core::Duration first_ejection { 1000 };
     Core::Duration longest_ejection { 30000 };
 };
 
-/// What an entry knows of the instances behind its services, and its choice among them.
+/// Keeps the state of the instances behind an entry's services, and chooses the instance for each request.
 ///
-/// The list says who may exist, the link says who answers now, and the agent's own word goes first.
-/// Reported load lags and cache events have gaps: both are hints only.
+/// State comes from three sources: the list of instances says which may exist, the link to an instance's agent says whether it is
+/// reachable now, and the agent's reports say whether it drains, what it serves and how loaded it is. An instance is only used while
+/// its link is up and its agent has reported over it. Reported load is delayed and reports of cached prefixes can be incomplete: both
+/// only influence the preference among instances.
 class InstanceTable {
 public:
     InstanceTable(InstanceTableSettings, uint64_t seed);
 
+    /// Adds an instance, or updates its list entry and keeps everything else that is known of it.
     void set_listed(std::string const& id, std::string const& service, bool is_leaving);
     void remove(std::string const& id);
+    /// After a link comes up, the instance is not used until its agent reports.
     void on_link_up(std::string const& id);
     void on_link_down(std::string const& id);
     void on_report(std::string const& id, Schema::Report const&);
 
-    /// The instance to send a request to. InstanceBusy means that all that could serve it are full.
+    /// Returns the id of the instance to send a request to. The error is InstanceBusy if instances that could serve it are there but
+    /// are full or have just refused a request, and NoInstance if there are none.
     tl::expected<std::string, Schema::Reason> choose(RouteNeeds const&, Core::Time now);
 
+    /// This entry sent a request to the instance.
     void on_started(std::string const& id);
+    /// A request that this entry sent to the instance ended.
     void on_finished(std::string const& id, InstanceOutcome, Core::Time now);
-    /// It refused as busy or not ready: it is left alone until it reports again.
+    /// The instance refused a request. With InstanceBusy or VersionNotReady it gets no requests until its next report or until one of
+    /// this entry's requests ends there; with Draining, until a report says that it doesn't drain. Other reasons are ignored.
     void on_refused(std::string const& id, Schema::Reason);
 
+    /// Whether the instance is linked, has reported and is neither leaving nor draining.
     bool is_usable(std::string const& id) const;
+    /// Whether any instance of the service is listed.
     bool has_service(std::string const& service) const;
-    /// Version of the model that an instance reported to serve.
+    /// Model and version that the instance reported to serve; std::nullopt if none, or if it hasn't reported over its present link.
     std::optional<Schema::Weights> serving(std::string const& id) const;
-    /// Instances that report to serve these weights' version, sorted.
+    /// Ids of the instances whose last report says that they serve this version of the model, sorted.
     std::vector<std::string> ready_with(std::string const& model, std::string const& version) const;
+    /// Number of requests that this entry has in flight at the instance.
     size_t own_in_flight(std::string const& id) const;
 
 private:
@@ -85,7 +100,7 @@
         Schema::Report report {};
         std::set<std::string> warm;
         size_t own_in_flight { 0 };
-        // Own requests among those that the last report counted.
+        // How many of the requests counted by the last report are this entry's.
         size_t own_at_report { 0 };
         size_t failures { 0 };
         size_t ejections { 0 };
--- a/Libraries/LibRouting/PlaceWait.cpp
+++ b/Libraries/LibRouting/PlaceWait.cpp
@@ -7,11 +7,11 @@
 
 namespace Routing {
 
-// Those that can only be late stand behind all that can be in time, whatever their priority.
+// Added to the priority of late requests, so that they queue behind all that can be answered in time, whatever their priority.
 static constexpr int late_rank = 1000;
-// Streams that were cut go on first: their callers wait in the middle of an answer.
+// Streams that broke off resume first: their callers wait in the middle of an answer.
 static constexpr int resumed_rank = -1;
-// Callers give up a stream that stands still for about this long.
+// Callers give up on a stream that delivers nothing for about this long.
 static constexpr Core::Duration resume_patience { 2000 };
 static constexpr Core::Duration least_retry_after { 200 };
 static constexpr double retry_after_spread = 2;
--- a/Libraries/LibRouting/PlaceWait.h
+++ b/Libraries/LibRouting/PlaceWait.h
@@ -15,7 +15,8 @@
 
 namespace Routing {
 
-/// The requests of a service that wait at an entry for a place.
+/// Requests of one service that wait at an entry for a free slot at a backend server. A request is late if its answer can't begin
+/// within the service's objective any more (see AnswerTerms::in_time_until).
 struct ServiceLine {
     explicit ServiceLine(size_t limit)
         : queue(limit)
@@ -23,73 +24,82 @@
     }
 
     RequestQueue queue;
+    /// Measures how often late requests get a slot.
     LeftoverPace leftover;
-    /// Requests in the queue that can only be late.
+    /// Number of late requests in the queue.
     size_t late { 0 };
 };
 
-/// The longest time after which a refused caller is asked to come back; also where nothing tells when there will be room.
+/// Upper limit of the time after which a refused caller is asked to retry. Also used where the entry can't estimate when a slot
+/// becomes free.
 inline constexpr Core::Duration longest_retry_after { 1500 };
 
-/// How requests wait for a place.
+/// Settings for requests that wait for a slot.
 struct WaitingPolicy {
-    /// Requests that can still be in time go before those that can only be late.
+    /// Whether requests that can still be answered in time go before late ones.
     bool orders_by_timeliness { true };
-    /// How much rarer places for late requests are than places, until it was seen.
+    /// Assumed ratio of the interval between slots for late requests to the interval between all slots, until the former was observed.
     double leftover_factor { 3 };
 };
 
-/// What of a request decides how it waits, and for how long.
+/// The properties of a request that determine its order in the queue and how long it waits.
 struct WaitingRequest {
     uint64_t number { 0 };
     std::string service;
-    /// Empty where there is none.
+    /// Empty if the request belongs to no customer.
     std::string customer;
-    /// The lower, the more urgent.
+    /// A lower value is more urgent.
     int64_t priority { 0 };
     int64_t prompt_tokens { 0 };
-    /// As far as the caller expects.
+    /// Length of the answer that the caller expects.
     int64_t answer_tokens { 0 };
     AnswerTerms terms;
-    /// When events went to the caller last, of a stream that was cut.
+    /// When the caller last received events; std::nullopt unless this request resumes a stream that broke off.
     std::optional<Core::Time> delivered_at {};
 };
 
-/// How one request waits at an entry for a place at a backend server: in which order, until when, and when its caller is to come
-/// back if it is refused.
+/// The wait of one request at an entry for a free slot at a backend server. Determines the request's order in the queue, when
+/// waiting has become pointless, and after which time a refused caller should retry.
 class PlaceWait {
 public:
-    /// All that is given outlives the wait.
+    /// The table and what `line` refers to must outlive this object.
+    /// @param line returns the queue of a service.
     PlaceWait(ServerTable const&, WaitingPolicy const&, std::function<ServiceLine&(std::string const& service)> line);
 
-    /// The request has found no place and is about to wait, or to be refused: it is taken for late from now on, or not.
+    /// Call when no slot was found for a request, before join() or is_hopeless(). Determines whether the request is late; this stays
+    /// fixed for the rest of the wait.
     void begin(WaitingRequest const&, Core::Time now);
-    /// @return false if the line is full, or the request would end after its deadline.
+    /// Adds the request to its service's queue.
+    /// @return false if the queue is full, or the request is expected to end after its deadline.
     bool join(WaitingRequest const&, Core::Time now);
+    /// Removes the request from the queue, if it is there.
     void leave();
-    /// A place was found.
+    /// The request got a slot: records this for the estimates, and removes it from the queue.
     void on_sent(Core::Time now);
 
-    /// Whether a request that waits to be in time can no longer be.
+    /// Whether a request that was not late at begin() can no longer be answered in time: not even the least time to a first event fits.
+    /// Always false for a resumed stream.
     bool becomes_late(WaitingRequest const&, Core::Time now) const;
-    /// Whether it is known by now that no place will come while the answer is still worth something.
-    /// @param reason why the last try found no place.
+    /// Whether the request should be refused, as no slot is expected to become free early enough to answer it before its deadline. A
+    /// resumed stream is hopeless once its caller has received nothing for 2 seconds.
+    /// @param reason why ServerTable::choose() found no backend server.
     bool is_hopeless(WaitingRequest const&, NoServer reason, Core::Time now) const;
-    /// When those that wait in front will have had their places, spread so that callers refused together come back apart.
+    /// Time after which a refused caller should retry: the expected time until all waiting requests have got a slot, multiplied by a
+    /// random factor from 1 to 2 so that callers refused together don't return together, and clamped to 200 to 1500 milliseconds.
     Core::Duration retry_after(std::string const& service, Core::Time now, std::mt19937_64& random) const;
 
-    /// Logs what a refusal of the request rests on.
+    /// Logs the figures on which the refusal of the request is based.
     void log_refusal(std::string const& id, WaitingRequest const&, Core::Time now) const;
 
 private:
-    /// Time that the answer takes at a full engine.
+    /// Time that the request takes at a full engine.
     Core::Duration service_time(WaitingRequest const&) const;
     Timeliness timeliness(WaitingRequest const&, Core::Time begins) const;
 
     ServerTable const& m_servers;
     WaitingPolicy m_policy;
     std::function<ServiceLine&(std::string const&)> m_line_of;
-    // Null while it does not wait.
+    // Null while the request is not in a queue.
     ServiceLine* m_line { nullptr };
     uint64_t m_number { 0 };
     bool m_is_late { false };
--- a/Libraries/LibRouting/RequestQueue.cpp
+++ b/Libraries/LibRouting/RequestQueue.cpp
@@ -5,8 +5,9 @@
 
 namespace Routing {
 
+// Weight of a new value in the moving averages.
 static constexpr double gap_smoothing = 0.05;
-// An idle stretch says nothing about how fast the service is.
+// Limits a measured interval between completions: a time without requests says nothing about how fast the service is.
 static constexpr double longest_gap_ms = 5000;
 
 RequestQueue::RequestQueue(size_t limit)
--- a/Libraries/LibRouting/RequestQueue.h
+++ b/Libraries/LibRouting/RequestQueue.h
@@ -12,36 +12,41 @@
 
 namespace Routing {
 
-/// Requests of one service that wait at an entry for an instance: by priority, and within a priority
-/// one customer after another, so that a customer with many waits behind itself and not before the others.
+/// Queue of the requests of one service that wait at an entry for an instance. Requests are ordered by priority, lower values first.
+/// Within a priority, customers take turns (round robin), so that a customer with many requests delays only itself.
 class RequestQueue {
 public:
+    /// @param limit maximum number of queued requests.
     explicit RequestQueue(size_t limit);
 
+    /// Takes effect for later calls of push(); requests in the queue stay.
     void set_limit(size_t limit) { m_limit = limit; }
 
     enum class PushResult {
         Queued,
         Full,
-        /// By the present rate and the usual length of a request it would end after its deadline.
+        /// The request is expected to end after its deadline, by the measured rate of completions and duration of requests.
         TooLate,
     };
 
+    /// Adds a request, unless the result is Full or TooLate.
     PushResult push(uint64_t request, std::string const& customer, int priority, Core::Time deadline, Core::Time now);
 
+    /// Does nothing if the request is not in the queue.
     void remove(uint64_t request);
 
-    /// Offers requests in their order until `start` has taken as many as it can.
-    /// `start` answers true if it took the request; one that it did not take stays where it was.
+    /// Calls `start` with queued requests in their order. A request is removed if `start` returns true. If it returns false, the
+    /// request stays, and the turn goes to the next customer; a priority is finished once `start` has declined the first request of
+    /// each of its customers in a row.
     void offer(std::function<bool(uint64_t)> const& start);
 
-    /// A request of this service ended at an instance, `took` after it was sent there: the estimates rest on it.
+    /// Updates the estimates: a request of this service ended at an instance, `took` after it was sent there.
     void on_completed(Core::Time now, Core::Duration took);
 
-    /// How long a request usually takes at an instance.
+    /// Mean time that a request takes at an instance; 0 until one has ended.
     Core::Duration expected_service() const;
 
-    /// Longest a request pushed now is expected to wait.
+    /// Expected wait of a request pushed now, behind all queued requests of the same and of more urgent priorities.
     Core::Duration expected_wait(int priority) const;
 
     size_t size() const { return m_where.size(); }
@@ -49,7 +54,7 @@
 private:
     struct Level {
         std::map<std::string, std::deque<uint64_t>> by_customer;
-        // Customers in the order of their turns.
+        // Customers with queued requests; the front one has the next turn.
         std::deque<std::string> turns;
         size_t size { 0 };
     };
@@ -59,7 +64,7 @@
     size_t m_limit;
     std::map<int, Level> m_levels;
     std::map<uint64_t, std::pair<int, std::string>> m_where;
-    // Mean time between completions, milliseconds; 0 while unknown.
+    // Mean time between completions in milliseconds; 0 while unknown.
     double m_mean_gap_ms { 0 };
     double m_mean_service_ms { 0 };
     std::optional<Core::Time> m_last_completed;
--- a/Libraries/LibRouting/RouteTable.cpp
+++ b/Libraries/LibRouting/RouteTable.cpp
@@ -5,7 +5,7 @@
 
 namespace Routing {
 
-// A route whose host could not be read stands under this one.
+// Key in m_routes of routes whose host could not be read, which apply to all hosts.
 static std::string const any_host;
 
 RouteTable::RouteTable(std::shared_ptr<Schema::RoutingConfiguration const> configuration)
@@ -37,7 +37,7 @@
     if (routes == m_routes.end())
         return nullptr;
     auto const* shortest = routes->second.back();
-    // A route whose path could not be read may be the longest for any.
+    // A route whose path could not be read may have been the longest match for any path.
     if (shortest->is_blocked && shortest->path_prefix.empty())
         return shortest;
     for (auto const* route : routes->second) {
--- a/Libraries/LibRouting/ServerTable.cpp
+++ b/Libraries/LibRouting/ServerTable.cpp
@@ -9,35 +9,38 @@
 
 namespace Routing {
 
-// An agent that is heard of again at least each second; past this its word is too old to go by.
+// Agents report at least every second. An older report is not used.
 static constexpr Core::Duration report_is_fresh { 2500 };
 static constexpr Core::Duration first_suspension { 400 };
 static constexpr Core::Duration longest_suspension { 4000 };
 static constexpr Core::Duration full_wait { 60 };
 static constexpr int64_t failures_to_suspend = 4;
-// A full engine writes to those it runs every few tens of milliseconds.
+// A full engine sends events to its running requests every few tens of milliseconds.
 static constexpr Core::Duration answering_within { 600 };
-// One may come of a version that changed just now; more in a row come of an incarnation that is gone.
+// A single misdirected attempt may be due to a version that has just changed; several in a row are due to an incarnation that has
+// terminated.
 static constexpr int64_t misdirections_to_suspend = 2;
 static constexpr Core::Duration misdirected_suspension { 1000 };
-// From the order until an engine serves, and from an empty engine's first report, where its copy lies beside it already;
-// measured on engines that had lost power.
+// Time from the order to load a version until the engine serves it, and from an empty engine's first report until it serves, if a copy
+// of the weights is already on its instance. Measured on engines that had lost power.
 static constexpr Core::Duration usual_load { 400 };
 static constexpr Core::Duration usual_refill { 700 };
+// Weight of the previous value in the moving average of the failure rate.
 static constexpr double failure_memory = 0.9;
-// A server that fails everything costs as much as one that is this many milliseconds slower.
+// A server that fails every request costs as much as one that is this many milliseconds slower.
 static constexpr double failure_cost_ms = 400;
-// What a request's bytes between regions and failure domains cost, as time that it may wait instead.
+// Cost of the traffic between regions and between failure domains, as the time that a request may wait longer instead.
 static constexpr double other_region_ms = 25;
 static constexpr double other_domain_ms = 8;
+// Assumed time of an answer of a plain service.
 static constexpr double plain_answer_ms = 30;
-// What others send to an engine is known late, so all who see it idle meet there: its owner goes before its helpers, and
-// these before all others.
+// Entries learn late what others send to an engine, so all that see it idle would collide there. These penalties make its owner use it
+// before its helpers, and its helpers before all other entries.
 static constexpr double helper_ms = 40;
 static constexpr double other_ms = 160;
-// A server that may end at any moment, against half of the usual aim for a first event.
+// Penalty of a server that may terminate at any moment: half of the usual objective for the first event.
 static constexpr double avoided_ms = 250;
-// What one more request costs that the end of a server would break off, against a place far away.
+// Penalty for each request that would be aborted if the server terminated, in relation to the cost of a slot in another region.
 static constexpr double company_ms = 50;
 
 static bool is_earlier_start(std::optional<int64_t> started_at_ms, std::optional<int64_t> known)
@@ -45,7 +48,7 @@
     return started_at_ms && known && *started_at_ms < *known;
 }
 
-/// The server's latest incarnation says that it is leaving. What the list still says of an earlier one ended with that.
+/// Whether the server's latest incarnation is leaving. A list entry of an earlier incarnation says nothing about the latest one.
 static bool is_leaving(Schema::BackendServer const& entry, std::optional<int64_t> latest_start)
 {
     return entry.is_draining && !is_earlier_start(entry.started_at_ms, latest_start);
@@ -57,7 +60,7 @@
 {
 }
 
-/// The version of its service's model that an engine holds whole; that of another model is none.
+/// Version of its service's model that the engine holds completely according to the list; 0 if none. Other models are ignored.
 static int64_t listed_version(Schema::BackendServer const& entry, Schema::EngineTiming const& timing)
 {
     auto held = entry.held;
@@ -93,7 +96,7 @@
 {
     if (!started_at_ms || (server.started_at_ms && *started_at_ms <= *server.started_at_ms))
         return;
-    // The first start that is told of a known server may be the one that it had all along.
+    // The first known start of a server may be that of the incarnation known all along.
     if (server.started_at_ms)
         begin_incarnation(server);
     server.started_at_ms = started_at_ms;
@@ -113,7 +116,7 @@
 
 void ServerTable::set_timing(std::string const& service, Schema::EngineTiming const& timing)
 {
-    // What was observed is kept as long as the operator states the same.
+    // Observed times are kept as long as the operator's configuration of the timing stays the same.
     auto const known = m_engine_services.find(service);
     bool const is_same = known != m_engine_services.end() && Schema::to_value(known->second.timing) == Schema::to_value(timing);
     if (is_same)
@@ -130,14 +133,14 @@
 {
     auto const known = m_reported.find(ip);
     bool const is_earlier = known != m_reported.end() && is_earlier_start(state.started_at_ms, known->second.state.started_at_ms);
-    // An agent's words come in order, but those of two links may not.
+    // Reports of an agent arrive in order over one link, but not necessarily over two links.
     if (is_earlier && now - known->second.at <= report_is_fresh)
         return;
     int64_t own = 0;
     for (auto& [id, server] : m_servers) {
         if (server.ip != ip)
             continue;
-        // Of what shares the address only the engine is its agent's.
+        // The report is about the engine only, not about plain servers at the same address.
         if (engine_service(server.entry.service))
             note_start(server, state.started_at_ms, now);
         if (server.is_in_reach)
@@ -163,7 +166,8 @@
 {
     if (!is_earlier_start(report.state.started_at_ms, server.started_at_ms))
         return false;
-    // An agent that still tells of the earlier start when its word must have come anew is right: a clock was set back.
+    // If the agent still reports the earlier start after the time in which a newer report must have arrived, it is right: the
+    // instance's clock was set back.
     return report.at - server.known_since <= report_is_fresh;
 }
 
@@ -177,7 +181,7 @@
 {
     if (auto const* report = reported(server, now))
         return report->state.version;
-    // What is listed of an earlier incarnation is gone with it.
+    // What an earlier incarnation held, as listed, was lost when it terminated.
     return is_earlier_start(server.entry.started_at_ms, server.started_at_ms) ? 0 : server.listed_version;
 }
 
@@ -198,15 +202,17 @@
 {
     if (is_leaving(server.entry, server.started_at_ms) || now < server.suspended_until)
         return false;
-    // One that holds a model belongs to a service whose versions must be known.
+    // A server that holds a model belongs to a service of engines, and can't be used while that service's timing and versions are
+    // unknown.
     if (!engine_service(server.entry.service))
         return server.entry.held.empty();
     auto const* report = reported(server, now);
-    // An engine with an order before it takes nothing new until it is done.
+    // An engine that executes an order, or is about to, accepts no new requests until the order is done.
     if (report && report->state.is_busy)
         return false;
     auto const version = version_of(server, now);
-    // What is sent to one that has fallen silent may begin when it wakes, long after its version had to be gone.
+    // A request sent to an engine whose agent is silent may only begin when the engine resumes after a pause, long after its version had
+    // to be replaced.
     if (!report && version < needs.newest_version)
         return false;
     return version > 0 && (!needs.required_version || version >= *needs.required_version);
@@ -233,7 +239,7 @@
 
 EngineRole ServerTable::role(Server const& server) const
 {
-    // Without owners everybody fills them all.
+    // Without owners, every entry uses all engines like an owner.
     if (!m_roles)
         return EngineRole::Owner;
     auto const found = m_roles->find(server.entry.id);
@@ -249,7 +255,8 @@
         return slots - own;
     bool const is_owner = role(server) == EngineRole::Owner;
     if (!reported(server, now)) {
-        // Nobody says what others have there: an equal share, and where engines have owners no more than what they leave.
+        // The load of other entries is unknown. Without owners, this entry takes an equal share of the slots. With owners, the owner
+        // takes all but the reserve, and others take one slot.
         if (!m_roles)
             return std::max<int64_t>(1, slots / static_cast<int64_t>(m_entries)) - own;
         return (is_owner ? slots - m_settings.reserve : 1) - own;
@@ -260,7 +267,7 @@
 
 int64_t ServerTable::sharers(EngineRole role) const
 {
-    // The owner goes on filling the engine meanwhile: it counts as one of those that share.
+    // The owner keeps filling the engine meanwhile, so it counts as well.
     return static_cast<int64_t>(role == EngineRole::Helper ? helpers_per_engine + 1 : std::max<size_t>(m_entries, helpers_per_engine + 1));
 }
 
@@ -380,7 +387,8 @@
     auto const queue = load.ahead * times.turnover_ms();
     auto const* report = reported(server, now);
     auto const pace = report ? std::max(1.0, report->state.pace) : 1.0;
-    // Half of the pass under way, then one that reads what waits and this prompt, and writes the first event.
+    // Half of the current interval between events, then one in which the engine does the pending prefill and that of this prompt, and
+    // sends the first event.
     return times.correction() * pace * (times.pass_ms(load.running) * 1.5 + load.unread_ms + times.read_ms(static_cast<double>(needs.prompt_tokens)) + queue);
 }
 
@@ -391,7 +399,7 @@
         return false;
     auto const& times = model->times;
     auto const load = this->load(server, times, now);
-    // A prompt that nothing else waits beside is read in any case: it may be longer than any pause.
+    // If no other prefill is pending, the prompt is accepted in any case: its prefill alone may exceed every limit.
     if (load.unread_ms <= 0)
         return false;
     auto const pause = times.pass_ms(load.running) + load.unread_ms + times.read_ms(static_cast<double>(needs.prompt_tokens));
@@ -408,7 +416,7 @@
     auto const free = room(server, now);
     if (role(server) == EngineRole::Owner)
         return free > m_settings.leftover_reserve + m_settings.allowed_queue;
-    // What its owner sends there meanwhile is not known here.
+    // This entry doesn't know what the owner has sent there since the last report, so it requires half of the slots to be free.
     return free > server.entry.slots / 2;
 }
 
@@ -470,7 +478,7 @@
             continue;
         bool const is_better = !best || own_cost < best_cost;
         ties = is_better ? 1 : ties + 1;
-        // Among equals each has the same chance.
+        // Reservoir sampling: each of the servers with equal cost is chosen with the same probability.
         if (is_better || m_random() % ties == 0) {
             best = &server;
             best_cost = own_cost;
@@ -533,7 +541,7 @@
     auto const found = m_servers.find(id);
     if (found == m_servers.end())
         return;
-    // Its connection may be dead: a place that it held would be missing for what goes on beside it.
+    // The connection may be dead. If the request kept its slot, requests that continue at this server would lack the slot.
     auto const pending = found->second.pending.extract(request);
     if (!pending)
         return;
@@ -545,7 +553,8 @@
 
 void ServerTable::note_outcome(Server& server, std::optional<Core::Time> sent_at, ServerOutcome outcome, Core::Time now)
 {
-    // All connections of one moment may fall silent together, while new ones work: that is one fault, however many there were.
+    // All connections open at one moment may stop delivering together while new ones work. That counts as one fault, whatever the number
+    // of connections.
     bool const is_same_silence = outcome == ServerOutcome::Unreachable && sent_at && server.unreachable_at && *sent_at <= *server.unreachable_at;
     if (is_same_silence)
         return;
--- a/Libraries/LibRouting/ServerTable.h
+++ b/Libraries/LibRouting/ServerTable.h
@@ -15,157 +15,179 @@
 
 namespace Routing {
 
-/// What a request asks of a backend server.
+/// Criteria by which ServerTable::choose() selects the backend server for a request.
 struct ServerNeeds {
     std::string service;
-    /// The oldest version that the engine may serve; nothing while any whole version will do.
+    /// The oldest version of the model's weights that the engine may hold; std::nullopt if any completely loaded version will do.
     std::optional<int64_t> required_version {};
-    /// The newest version that is named of the model; 0 if none is. While an engine has yet to reach it, only its agent
-    /// knows whether it is about to load, or is still there.
+    /// The newest version of the model that the operator named in the log records; 0 if none. An engine with an older version is only
+    /// chosen while its agent reports, as only the agent knows whether the engine is about to load a version, or still runs.
     int64_t newest_version { 0 };
     int64_t prompt_tokens { 0 };
-    /// Incarnations that were tried already.
+    /// Ids of servers that must not be chosen, as earlier attempts of the request went to their present incarnations.
     std::set<std::string> excluded {};
-    /// Servers that may not be chosen now, and may be soon.
+    /// Ids of servers that can't be chosen at the moment, and are treated as full.
     std::set<std::string> closed {};
-    /// Servers that are chosen only where the others are far worse: they may end.
+    /// Ids of servers that may terminate soon. They are chosen only if all others are worse by 250 ms or more.
     std::set<std::string> avoided {};
-    /// Goes where the fewest run: the server may end.
+    /// Prefers servers with few requests in flight, as this request may terminate its server.
     bool wants_idle { false };
-    /// The first event must be expected within this; nothing if it may come at any time.
+    /// Longest acceptable predicted time to the first event of the answer; std::nullopt if there is no limit.
     std::optional<Core::Duration> begins_within {};
-    /// Longest pause between events that the streams of the service may see; 0 if there is no bound.
+    /// Longest acceptable pause between two events of a stream of this service; 0 if there is no limit. The prefill of a new prompt
+    /// pauses the streams that run at the same engine.
     Core::Duration longest_pause { 0 };
-    /// Takes only places that no request which can still be in time is likely to need.
+    /// Whether to use only spare slots, which requests that can still be answered in time are unlikely to need.
     bool takes_leftover { false };
 };
 
-/// Why no backend server can be had now.
+/// Why ServerTable::choose() found no backend server.
 enum class NoServer {
-    /// The list has none of the service that could serve.
+    /// No server of the service could serve the request, even if it had a free slot.
     NoneUsable,
-    /// Those that could serve are full.
+    /// Servers that could serve it have no free slot for it.
     AllFull,
-    /// Those that have room would begin later than asked.
+    /// Servers with a free slot are there, but are predicted to begin the answer too late.
     NoneInTime,
 };
 
+/// The backend server that a request is sent to.
 struct ServerChoice {
     std::string id;
-    /// Predicted time to the answer, or to a stream's first event.
+    /// Predicted time to the answer, or to the first event of a streamed answer.
     Core::Duration predicted { 0 };
 };
 
-/// How a send ended, as far as it says something about the backend server.
+/// Outcome of an attempt, as far as it says something about the backend server.
 enum class ServerOutcome {
     Success,
-    /// The connection never stood, or the server fell silent.
+    /// The connection could not be established, or the server stopped sending.
     Unreachable,
-    /// It failed the request, or its answer was broken.
+    /// The server answered with an error, or its answer was malformed.
     Failure,
-    /// It had no room.
+    /// The server had no free slot.
     Full,
-    /// It is another incarnation, or holds another version, than it was taken for.
+    /// The server is of another incarnation, or holds another version, than the attempt assumed.
     Misdirected,
-    /// Says nothing.
+    /// Says nothing about the server.
     Neutral,
 };
 
+/// Settings of a ServerTable. The domain and region are those of the entry.
 struct ServerTableSettings {
     Schema::ServerChoice choice { Schema::ServerChoice::Predicted };
     std::string failure_domain;
     std::string region;
+    /// Region of each failure domain.
     std::map<std::string, std::string> regions;
-    /// Requests that may wait inside a full engine of this entry's own.
+    /// Number of requests that may queue inside a full engine that this entry owns (see EngineRole).
     int64_t allowed_queue { 1 };
-    /// Places of another entry's engine that are left to its owner.
+    /// Number of slots that entries other than the owner leave free at an engine.
     int64_t reserve { 4 };
-    /// Places of an engine that requests which are late already leave to others.
+    /// Number of slots of an owned engine that requests which can't be answered in time any more leave free.
     int64_t leftover_reserve { 2 };
-    /// Reading that may be due at an engine that is given such a request, milliseconds.
+    /// Greatest pending prefill, in milliseconds, of an engine that such a late request is sent to.
     double leftover_unread_ms { 0 };
-    /// Entries that do not fill an engine share the places that its last report showed free.
+    /// Whether entries that don't own an engine divide the slots that its last report showed free among them.
     bool shares_reported_room { true };
-    /// An engine is given no prompt that would make those it runs pause for longer than they may.
+    /// Whether to enforce ServerNeeds::longest_pause.
     bool bounds_pauses { true };
 };
 
-/// What an entry knows of the backend servers that it sends requests to itself, and its choice among them.
+/// Keeps the state of the backend servers that an entry sends requests to directly, and chooses the server for each attempt.
 ///
-/// The list says which exist and which are leaving; the agent beside an engine says, sooner, what it holds and how
-/// many run there; the entry's own calls say who answers. Others' load is what the agent reports less what this
-/// entry had there, so that entries share engines without a coordinator.
+/// State comes from three sources: the list of backend servers says which exist and which are leaving; the agent beside an engine
+/// reports, sooner than the list, which version the engine holds and how many requests run there; and the outcomes of this entry's
+/// attempts show which servers answer. The load of other entries is the load that the agent reports less this entry's share of it, so
+/// that entries share engines without a coordinator.
+///
+/// Backend servers of a service for which set_timing() was called are engines; all others are servers of a plain service, without a
+/// model. A server's id is its id in the list. An agent is identified by the IP address that it shares with its engine.
 class ServerTable {
 public:
     ServerTable(ServerTableSettings, uint64_t seed);
 
-    /// Adds or changes a server; nothing else that is known of it changes, unless it has started again: then what was known of
-    /// the incarnation before is forgotten.
+    /// Adds a server or updates its list entry. All other state is kept, unless the list entry shows a later start: then the state of
+    /// the previous incarnation is dropped.
     void set_server(Schema::BackendServer const&, Core::Time now);
     void remove_server(std::string const& id);
+    /// Makes the service one of engines, with this timing model. Observed times are kept unless the configured timing changes.
     void set_timing(std::string const& service, Schema::EngineTiming const&);
-    /// The number of entries that share the servers, this one included.
+    /// Sets the number of entries that share the servers, including this one.
     void set_entries(size_t count) { m_entries = std::max<size_t>(1, count); }
 
-    /// The engines that may be chosen, by IP number; the others are passed over before anything is looked up of them, so that
-    /// a choice costs as much as there are engines in reach. Until it is called all are in reach.
+    /// Restricts the choice to the engines with these IP addresses, which are said to be in reach. choose() skips all others before any
+    /// further look-up, so that its cost grows with the number of engines in reach only. Until the first call, all engines are in reach;
+    /// servers of plain services always are.
     void set_reach(std::set<std::string> const& ips);
 
-    /// What this entry is to the engines; see engine_roles(). Until it is called no engine has an owner.
+    /// Sets this entry's role for each engine, by server id, as engine_roles() returns it. An engine that the map lacks has the role
+    /// Other. Until the first call no engine has an owner, and this entry uses all engines as if it owned them.
     void set_roles(std::map<std::string, EngineRole> roles);
 
-    /// Whether this entry may send requests to the server as its role is: an engine that it neither fills nor helps to fill
-    /// has places for it only where those that are left to all who see it are at least one for each entry.
+    /// Whether the role of this entry can ever allow it to send requests to the server. With the role Other it gets slots of an engine
+    /// only if those beside the owner's reserve are enough for one per entry. False if the server is unknown.
     bool is_of_use(std::string const& id) const;
 
-    /// What the agent at an IP number read at its engine. What is told of an earlier incarnation than is known counts only once
-    /// nothing else was heard of the engine for a while.
+    /// Stores the state that the agent at an IP address read from its engine. A report of an earlier incarnation than the last report's
+    /// is ignored, unless the last report is more than 2.5 seconds old.
     void on_engine_state(std::string const& ip, Schema::EngineState const&, Core::Time now);
+    /// Drops the agent's last report, after its link has closed.
     void on_agent_gone(std::string const& ip);
 
+    /// Chooses the server of the service with the lowest cost, which is the predicted time to the first event plus penalties for
+    /// distance, role and failures (or what the setting `choice` says instead). Equal costs are decided at random.
     tl::expected<ServerChoice, NoServer> choose(ServerNeeds const&, Core::Time now);
 
-    /// Whether any server of the service has room for some request.
+    /// Whether any usable server of the service has a free slot for this entry, for a request without special criteria.
     bool has_place(std::string const& service, Core::Time now) const;
 
-    /// A request was sent; it holds a place until `on_ended`.
+    /// A request was sent to the chosen server. It holds a slot there until on_ended() or on_silent().
     void on_sent(std::string const& request, ServerChoice const&, int64_t prompt_tokens, Core::Time now);
-    /// Its first event came: the prompt is read.
+    /// The first event of the request's answer arrived, so prefill of its prompt is done. Also corrects the service's timing model.
     void on_first_event(std::string const& id, std::string const& request, Core::Time now);
+    /// The attempt ended: frees its slot and evaluates the outcome. An attempt that went to an earlier incarnation says nothing about the
+    /// present one.
     void on_ended(std::string const& id, std::string const& request, ServerOutcome, Core::Time now);
-    /// It says nothing of the request, which holds no place there any more, and may be answered later all the same.
+    /// The server sends nothing for the request, which counts as Unreachable and frees its slot. The server may still answer it later.
+    /// Until its suspension ends or on_heard() is called, the server is not chosen.
     void on_silent(std::string const& id, std::string const& request, Core::Time now);
-    /// Some bytes of an answer came from the server, to whichever request.
+    /// Bytes of an answer to any request arrived from the server. Ends a suspension that on_silent() caused.
     void on_heard(std::string const& id, Core::Time now);
-    /// The server has answered some request just now: one that hears nothing there waits behind others.
+    /// Whether bytes arrived from the server within the last 600 ms. If so, a request that receives nothing there probably waits behind
+    /// other requests.
     bool is_answering(std::string const& id, Core::Time now) const;
 
-    /// Start of the latest incarnation of the server that was listed or reported; nothing if none was told.
+    /// Start of the latest incarnation of the server that was listed or reported, in milliseconds as the list and the agents give it;
+    /// std::nullopt if unknown.
     std::optional<int64_t> started_at_ms(std::string const& id) const;
 
-    /// The server, or null.
+    /// Returns the server's list entry, or null if the server is unknown.
     Schema::BackendServer const* find(std::string const& id) const;
-    /// The whole version that the server holds; 0 if none, or if it serves no model.
+    /// Version of its service's model that the server holds completely, as its agent reports or else as listed; 0 if there is none.
     int64_t version_of(std::string const& id, Core::Time now) const;
-    /// The version that the agent at an IP number reports; 0 if none, or if it is silent.
+    /// Version that the agent at an IP address reports; 0 if none, or if its last report is more than 2.5 seconds old.
     int64_t version_at(std::string const& ip, Core::Time now) const;
-    /// An order is before the engine, or about to be: what it breaks off is no fault of its own.
+    /// Whether the engine's agent reports that the engine executes an order, such as loading a version, or is about to. Requests that
+    /// such an engine aborts don't count as its fault.
     bool is_switching(std::string const& id, Core::Time now) const;
-    /// What is known of the server has been wrong more than once in a row: the list may be behind.
+    /// Whether at least two attempts in a row were Misdirected, so that the list entry of the server is probably out of date.
     bool is_doubtful(std::string const& id) const;
 
-    /// Mean time between places that become free at one server of a service, when it is full.
+    /// Mean time between two slots that become free at one full server of the service.
     Core::Duration turnover(std::string const& service) const;
-    /// Mean time between places that become free at any of the engines that this entry fills, when they are full.
+    /// Mean time between two slots that become free at any of the engines that this entry owns, when they are full.
     Core::Duration place_interval(std::string const& service, Core::Time now) const;
-    /// Least time to the first event of a prompt at an engine that is in use; 0 for a plain service.
+    /// Least time to the first event for a prompt at an engine whose slots are in use and that has no other pending prefill; 0 for a plain
+    /// service.
     Core::Duration least_first_event(std::string const& service, int64_t prompt_tokens) const;
-    /// Time that a request of a size takes at a full engine; 0 for a plain service.
+    /// Time that a request with a prompt and an answer of this size takes at a full engine; 0 for a plain service.
     Core::Duration service_time(std::string const& service, int64_t prompt_tokens, int64_t answer_tokens) const;
-    /// Time after which an engine that does not serve now may serve; nothing if none is about to.
+    /// Expected time until an engine that loads a version or is empty can serve; std::nullopt if there is no such engine in reach.
     std::optional<Core::Duration> next_engine(std::string const& service, Core::Time now) const;
 
 private:
+    /// A request that this entry has in flight at a server.
     struct Pending {
         int64_t prompt_tokens { 0 };
         Core::Time sent_at { 0 };
@@ -181,31 +203,33 @@
         int64_t layers { 0 };
     };
 
+    /// The last report of an agent.
     struct Reported {
         Schema::EngineState state;
         Core::Time at { 0 };
+        /// Requests that this entry had in flight there when the report arrived.
         int64_t own_in_flight { 0 };
-        /// Requests that this entry has sent there since.
+        /// Requests that this entry has sent there since the report arrived.
         int64_t own_sent { 0 };
     };
 
     struct Server {
         Schema::BackendServer entry;
         std::string ip;
-        // Of an engine: its agent is followed. All others are always in reach.
+        // See set_reach().
         bool is_in_reach { true };
         int64_t listed_version { 0 };
-        /// Start of the latest incarnation that was listed or reported, and when it was first heard of here.
+        /// Start of the latest incarnation that was listed or reported, and when this entry first learned of it.
         std::optional<int64_t> started_at_ms;
         Core::Time known_since { 0 };
         std::map<std::string, Pending> pending;
-        // Requests that were sent to earlier incarnations and have not ended: how they end says nothing of this one.
+        // Requests that were sent to earlier incarnations and have not ended. Their outcomes say nothing about the present one.
         std::set<std::string> sent_before;
         std::optional<Core::Time> heard_at;
         Core::Time suspended_until { 0 };
-        /// It is suspended for its silence alone: the next bytes from it end that.
+        /// Whether the only reason of the suspension is that the server stopped sending. The next bytes from it end the suspension.
         bool is_suspended_as_silent { false };
-        /// When it last became unreachable.
+        /// When the server last became unreachable.
         std::optional<Core::Time> unreachable_at;
         Core::Time full_until { 0 };
         int64_t faults_in_a_row { 0 };
@@ -213,44 +237,51 @@
         double failure_rate { 0 };
     };
 
-    /// What an engine has to do, as far as is known.
+    /// Estimated load of an engine.
     struct Load {
         double running { 0 };
-        /// Requests that wait for a place in front of the next one.
+        /// Number of requests that must end before a further one gets a slot.
         double ahead { 0 };
-        /// Reading of the prompts whose first event has not come, milliseconds.
+        /// Pending prefill, in milliseconds: that of prompts whose first event has not arrived.
         double unread_ms { 0 };
     };
 
-    /// Forgets what an incarnation leaves behind, if this start is later than the one known.
+    /// Records the start of an incarnation. If it is later than the known start, drops the state of the previous incarnation.
     static void note_start(Server&, std::optional<int64_t> started_at_ms, Core::Time now);
     static void begin_incarnation(Server&);
-    /// What an end, or a silence, of a request that was sent at `sent_at` says of the server.
+    /// Updates the server's failures and suspension by the outcome of an attempt.
+    /// @param sent_at when the request was sent; std::nullopt if unknown.
     static void note_outcome(Server&, std::optional<Core::Time> sent_at, ServerOutcome, Core::Time now);
-    /// Null where the agent is silent, or told of an earlier incarnation.
+    /// Returns the last report of the server's agent; null if it is more than 2.5 seconds old, or of an earlier incarnation.
     Reported const* reported(Server const&, Core::Time now) const;
-    /// Whether a report is of an earlier incarnation than the known one, by which it was overtaken.
+    /// Whether a report is outdated, as it is of an earlier incarnation than the latest one known.
     static bool is_overtaken(Server const&, Reported const&);
-    /// Null for a plain service.
+    /// Returns null for a plain service.
     EngineService const* engine_service(std::string const& service) const;
     int64_t version_of(Server const&, Core::Time now) const;
     bool is_usable(Server const&, ServerNeeds const&, Core::Time now) const;
+    /// Requests of other entries that the last report showed at an engine; 0 without a report.
     int64_t others_in_flight(Server const&, Core::Time now) const;
+    /// Number of slots that are free for this entry; may be negative.
     int64_t room(Server const&, Core::Time now) const;
-    /// Whether this entry has taken its part of the places that the last report showed free at another's engine.
+    /// Whether this entry has used up its share of the slots that the last report showed free at an engine that it doesn't own.
     bool has_taken_its_part(Server const&, Core::Time now) const;
-    /// Among how many the places are shared that a report showed free.
+    /// Number of entries among which the slots are divided that a report showed free.
     int64_t sharers(EngineRole) const;
     bool has_room(Server const&, Core::Time now) const;
     Load load(Server const&, EngineTimes const&, Core::Time now) const;
-    /// Whether those that run there would see a longer pause than they may, with one more prompt to read.
+    /// Whether prefill of this request's prompt would pause the streams that run there for longer than ServerNeeds::longest_pause.
     bool would_stall(Server const&, ServerNeeds const&, Core::Time now) const;
+    /// Whether the server has a spare slot, see ServerNeeds::takes_leftover.
     bool has_leftover(Server const&, Core::Time now) const;
+    /// Predicted time to the first event, or to the answer of a plain service, in milliseconds.
     double predicted_ms(Server const&, ServerNeeds const&, Core::Time now) const;
+    /// Added to the cost for the distance between this entry and the server, in milliseconds.
     double distance_ms(Server const&) const;
     EngineRole role(Server const&) const;
-    /// What is added to the cost of an engine that another entry fills.
+    /// Added to the cost of an engine that this entry doesn't own, in milliseconds.
     double role_ms(Server const&) const;
+    /// The server with the lowest cost is chosen. In milliseconds, if the setting `choice` is Predicted.
     double cost(Server const&, ServerNeeds const&, Core::Time now);
 
     ServerTableSettings m_settings;
@@ -258,7 +289,7 @@
     size_t m_entries { 1 };
     std::map<std::string, Server> m_servers;
     std::map<std::string, EngineService> m_engine_services;
-    // By the IP number that agent and engine share.
+    // By the IP address that agent and engine share.
     std::map<std::string, Reported> m_reported;
     std::optional<std::map<std::string, EngineRole>> m_roles;
 };
--- a/Tests/LibRouting/TestEngineFollowers.cpp
+++ b/Tests/LibRouting/TestEngineFollowers.cpp
@@ -8,7 +8,7 @@
 
 namespace {
 
-/// Regions of as many domains, domains of as many entries and engines.
+/// A fleet of equally large regions, each with one failure domain.
 struct Fleet {
     Fleet(size_t region_count, size_t entries_by_region, size_t engines_by_region)
     {
@@ -48,8 +48,8 @@
         EXPECT_EQ(fleet.followed_by(entry), fleet.engines.size());
 }
 
-// A full mesh grows with entries times engines, and so do the messages of each agent: at some 70 entries before 200 engines
-// links took half of the processor time of all instances.
+// In a full mesh the number of links grows with entries times engines, and so do the messages of all agents. With some 70 entries and
+// 200 engines, links took half of the processor time of all instances.
 TEST(EngineFollowers, AnAgentsLinksStayTheSameHoweverManyEntriesThereAre)
 {
     for (size_t const entries_by_region : { 6, 15, 70 }) {
@@ -66,7 +66,7 @@
         size_t most = 0;
         for (auto const& entry : fleet.entries)
             most = std::max(most, fleet.followed_by(entry));
-        // Four engines by entry, sixteen followers each.
+        // Four engines per entry, sixteen followers per engine.
         EXPECT_LE(most, 2 * 4 * followers_per_engine);
     }
 }
@@ -82,7 +82,7 @@
     }
 }
 
-// A whole region of entries is lost: those elsewhere fill the places, and no engine is left alone.
+// If all entries of a region are lost, entries of other regions follow its engines, and no engine is left without followers.
 TEST(EngineFollowers, EnginesOfARegionWithoutEntriesAreFollowedFromElsewhere)
 {
     Fleet fleet(5, 10, 40);
@@ -115,7 +115,7 @@
     Fleet const fleet(5, 15, 40);
     auto const& self = fleet.entries.front();
     FollowedEngines followed(self, fleet.regions);
-    // It knows no other entry yet, and would be the only follower of each.
+    // The entry knows no others yet, so it would be the only follower of every engine.
     followed.update(fleet.engines, { self }, {}, Core::Time(1000));
     EXPECT_EQ(followed.ips().size(), 64u);
     for (auto const& engine : fleet.engines)
--- a/Tests/LibRouting/TestInstanceTable.cpp
+++ b/Tests/LibRouting/TestInstanceTable.cpp
@@ -145,7 +145,7 @@
     table.on_started("a");
     table.on_refused("a", Schema::Reason::InstanceBusy);
     EXPECT_EQ(table.choose(needs(), Core::Time(0)).error(), Schema::Reason::InstanceBusy);
-    // One of our own ended there: a slot is free.
+    // A request of this entry ended there, so a slot is free.
     table.on_finished("a", InstanceOutcome::Success, Core::Time(0));
     EXPECT_TRUE(table.choose(needs(), Core::Time(0)).has_value());
 }
--- a/Tests/LibRouting/TestPlaceWait.cpp
+++ b/Tests/LibRouting/TestPlaceWait.cpp
@@ -8,7 +8,7 @@
 
 namespace {
 
-/// One engine with four places, whose answers take about a second, and a line before it.
+/// One engine with four slots, whose answers take about a second, and the queue of its service.
 class PlaceWaitTest : public testing::Test {
 protected:
     PlaceWaitTest()
@@ -48,7 +48,7 @@
         return { m_servers, m_policy, [this](std::string const&) -> ServiceLine& { return m_line; } };
     }
 
-    /// A request that came now, of a caller that first asked a while ago.
+    /// A request that arrives now, from a caller whose first try was `asked_before` ago.
     WaitingRequest request(uint64_t number, Duration asked_before = Duration(0))
     {
         WaitingRequest request;
@@ -68,24 +68,24 @@
 
 }
 
-// All engines lack the version that is required, and none is about to load it.
+// No engine holds the required version, and none is about to load it.
 TEST_F(PlaceWaitTest, WhereNoEngineIsAboutToServeARequestIsHopelessAtOnce)
 {
     auto wait = this->wait();
     EXPECT_TRUE(wait.is_hopeless(request(1), NoServer::NoneUsable, m_now));
 }
 
-// After a loss of power: engines are there, empty, with a copy beside them.
+// After a power loss, engines are up but empty, with a copy of the weights on their instances.
 TEST_F(PlaceWaitTest, WhereAnEngineIsAboutToLoadARequestWaitsForIt)
 {
     add_engine(0);
     auto wait = this->wait();
     EXPECT_FALSE(wait.is_hopeless(request(1), NoServer::NoneUsable, m_now));
     auto const impatient = request(2, Duration(5000));
-    EXPECT_TRUE(wait.is_hopeless(impatient, NoServer::NoneUsable, m_now)) << "its caller will have gone";
+    EXPECT_TRUE(wait.is_hopeless(impatient, NoServer::NoneUsable, m_now)) << "the caller gives up before the answer ends";
 }
 
-// More come than engines can serve, and callers that were refused come back among them.
+// More requests arrive than the engines can serve, among them those of callers that were refused and retry.
 TEST_F(PlaceWaitTest, CallersThatAreLateAlreadyStandBehindThoseThatCanBeInTime)
 {
     add_engine(1);
--- a/Tests/LibRouting/TestServerTable.cpp
+++ b/Tests/LibRouting/TestServerTable.cpp
@@ -100,7 +100,7 @@
     state.version = 1;
     state.running = 4;
     m_table.on_engine_state("10.0.0.1", state, m_now);
-    // Three of others and one of its own fill four slots and leave the one that may wait.
+    // Three requests of other entries and one of this entry fill the four slots. One more may queue inside the engine.
     EXPECT_TRUE(choose().has_value());
     m_table.on_sent("r2", { .id = "1" }, 900, m_now);
     EXPECT_EQ(choose().error(), NoServer::AllFull);
@@ -166,7 +166,7 @@
     m_table.on_engine_state("10.0.0.1", state, m_now);
     EXPECT_TRUE(m_table.choose(needs, m_now).has_value());
 
-    // The agent froze with its engine: what the list says of it is no reason to send it anything.
+    // The agent froze together with its engine: the list entry alone is no reason to send requests there.
     m_now += Core::Duration(5000);
     EXPECT_FALSE(m_table.choose(needs, m_now).has_value());
 
@@ -190,7 +190,7 @@
     m_table.on_sent("r1", { .id = "2" }, 900, m_now);
     m_table.on_sent("r2", { .id = "2" }, 900, m_now);
     EXPECT_EQ(choose()->id, "3");
-    // One that is not there to be used leaves the others.
+    // With the preferred engines excluded, the remaining one is used.
     EXPECT_EQ(choose({}, { "2", "3" })->id, "1");
 }
 
@@ -202,7 +202,7 @@
         m_table.on_ended("1", "r", ServerOutcome::Misdirected, m_now);
     };
     refuse();
-    // Once may come of a version that changed just now.
+    // A single misdirected attempt may be due to a version that has just changed.
     EXPECT_TRUE(choose().has_value());
     EXPECT_FALSE(m_table.is_doubtful("1"));
     refuse();
@@ -236,7 +236,7 @@
 
 TEST_F(ServerTableTest, AnEngineOfAServiceThatIsNotKnownToServeAModelGetsNoWork)
 {
-    // Without the service's model nobody knows which version must be served there.
+    // Without the service's model it is unknown which version must be served there.
     auto stray = engine("1", "a");
     stray.service = "unread";
     m_table.set_server(stray, m_now);
@@ -267,7 +267,7 @@
     ServerNeeds needs;
     needs.service = "llm";
     needs.prompt_tokens = 3000;
-    // Alone, a prompt is read however long it is.
+    // Without other pending prefill, a prompt of any length is accepted.
     needs.longest_pause = Core::Duration(100);
     EXPECT_TRUE(m_table.choose(needs, m_now).has_value());
     m_table.on_sent("r1", { .id = "1" }, 3000, m_now);
@@ -286,12 +286,12 @@
     late.service = "llm";
     late.takes_leftover = true;
     EXPECT_TRUE(m_table.choose(late, m_now).has_value());
-    // A prompt that is still being read comes first.
+    // Pending prefill of another prompt goes first.
     m_table.on_sent("r1", { .id = "1" }, 900, m_now);
     EXPECT_FALSE(m_table.choose(late, m_now).has_value());
     m_table.on_first_event("1", "r1", m_now);
     EXPECT_TRUE(m_table.choose(late, m_now).has_value());
-    // So do the last places.
+    // The last free slots stay reserved as well.
     for (auto const* request : { "r2", "r3", "r4" }) {
         m_table.on_sent(request, { .id = "1" }, 900, m_now);
         m_table.on_first_event("1", request, m_now);
@@ -320,7 +320,7 @@
         }
         return sent;
     };
-    // Of nine places beside the reserve, two helpers and the owner take three each.
+    // Of the nine free slots beside the reserve, two helpers and the owner take three each.
     EXPECT_EQ(sent_until_full(), 3);
     m_table.set_roles({});
     state.running += 3;
@@ -366,7 +366,7 @@
     m_now = first_fault + Core::Duration(400);
     auto const again = choose();
     ASSERT_TRUE(again.has_value());
-    // What is sent afterwards and falls silent too is a fault of its own.
+    // A request that is sent afterwards and gets no answer either is a separate fault.
     m_table.on_sent("r5", *again, 900, m_now);
     m_now += Core::Duration(1000);
     m_table.on_ended("1", "r5", ServerOutcome::Unreachable, m_now);
@@ -386,7 +386,7 @@
     m_now += Core::Duration(20);
     m_table.on_heard("1", m_now);
     EXPECT_TRUE(choose().has_value());
-    // A second look at its silence is the same fault.
+    // A second report that the same request gets no answer counts as the same fault.
     m_table.on_silent("1", "r1", m_now);
     EXPECT_TRUE(choose().has_value());
     m_table.on_ended("1", "r1", ServerOutcome::Success, m_now);
@@ -463,8 +463,8 @@
     EXPECT_TRUE(m_table.has_place("llm", m_now));
 }
 
-// An entry that neither fills nor helps to fill an engine has no use of each change of its load, once the places that its
-// owner leaves are fewer than the entries that would share them.
+// An entry that is neither owner nor helper of an engine needs no updates of its load, once the slots beside the owner's reserve are
+// fewer than the entries that would share them.
 TEST_F(ServerTableTest, AnEngineIsOfUseToThoseThatMaySendThere)
 {
     m_table.set_server(engine("1", "a"), m_now);
@@ -502,7 +502,7 @@
     EXPECT_FALSE(choose().has_value());
     m_table.set_server(born(2000, engine("1", "a")), m_now);
     EXPECT_TRUE(choose().has_value());
-    // What was sent to the one before ends now: that says nothing of this one.
+    // An attempt at the previous incarnation ends now, which says nothing about the present one.
     m_table.on_ended("1", "r2", ServerOutcome::Unreachable, m_now);
     EXPECT_TRUE(choose().has_value());
 }
@@ -514,7 +514,7 @@
     m_table.on_ended("1", "r1", ServerOutcome::Unreachable, m_now);
     m_table.set_server(born(1000, engine("1", "b")), m_now);
     EXPECT_FALSE(choose().has_value());
-    // Nor does a record that tells no start make another of it.
+    // A list entry without a start doesn't count as a new incarnation either.
     m_table.set_server(engine("1", "a"), m_now);
     EXPECT_FALSE(choose().has_value());
 }
@@ -538,7 +538,7 @@
     EXPECT_EQ(m_table.version_of("1", m_now), 0);
     m_table.on_engine_state("10.0.0.1", state_of(2000, 2), m_now);
     EXPECT_EQ(m_table.version_of("1", m_now), 2);
-    // A late word of the one before is not heard.
+    // A delayed report of the previous incarnation is ignored.
     m_table.on_engine_state("10.0.0.1", state_of(1000, 3), m_now);
     EXPECT_EQ(m_table.version_of("1", m_now), 2);
 }
@@ -550,11 +550,11 @@
     m_table.on_ended("1", "r1", ServerOutcome::Unreachable, m_now);
     m_table.on_engine_state("10.0.0.1", state_of(2000, 3), m_now);
     EXPECT_TRUE(choose(3).has_value());
-    // Once its agent is silent, the list speaks of the one before only.
+    // Without the agent's report there is only the list entry, which is of the previous incarnation.
     m_table.on_agent_gone("10.0.0.1");
     EXPECT_EQ(m_table.version_of("1", m_now), 0);
     EXPECT_FALSE(choose().has_value());
-    // A heartbeat of the one before makes nobody younger.
+    // A heartbeat of the previous incarnation doesn't replace the latest one.
     m_table.set_server(born(1000, engine("1", "b", 3)), m_now);
     EXPECT_EQ(m_table.version_of("1", m_now), 0);
     m_table.set_server(born(2000, engine("1", "a", 2)), m_now);
@@ -565,7 +565,7 @@
 {
     m_table.set_server(born(2000, engine("1", "a", 3)), m_now);
     m_table.on_engine_state("10.0.0.1", state_of(2000, 3), m_now);
-    // Its clock was set back between.
+    // The clock of the instance was set back between the two starts.
     for (int i = 0; i < 10; ++i) {
         m_now += Core::Duration(1000);
         m_table.on_engine_state("10.0.0.1", state_of(1000, 2), m_now);
@@ -582,7 +582,7 @@
     EXPECT_EQ(choose().error(), NoServer::NoneUsable);
     m_table.on_engine_state("10.0.0.1", state_of(2000, 1), m_now);
     EXPECT_TRUE(choose().has_value());
-    // A list that is read by its newest records may never show the successor's first one.
+    // A list of which only the newest records are read may never show the successor's first record.
     m_table.set_server(leaving, m_now);
     EXPECT_TRUE(choose().has_value());
     leaving.started_at_ms = 2000;
@@ -600,11 +600,11 @@
     needs.avoided = { "1" };
     EXPECT_EQ(m_table.choose(needs, m_now)->id, "2");
     needs.avoided = { "1", "2" };
-    EXPECT_EQ(m_table.choose(needs, m_now)->id, "1") << "one is better than none";
+    EXPECT_EQ(m_table.choose(needs, m_now)->id, "1") << "an avoided server is better than none";
     needs.closed = { "1" };
     EXPECT_EQ(m_table.choose(needs, m_now)->id, "2");
     needs.closed = { "1", "2" };
-    EXPECT_EQ(m_table.choose(needs, m_now).error(), NoServer::AllFull) << "they are open again soon";
+    EXPECT_EQ(m_table.choose(needs, m_now).error(), NoServer::AllFull) << "closed servers count as full, as they are usable again soon";
 }
 
 TEST_F(ServerTableTest, WhatMayEndItsServerGoesWhereTheFewestRun)
