--- a/Libraries/LibRouting/EngineFollowers.cpp
+++ b/Libraries/LibRouting/EngineFollowers.cpp
@@ -7,7 +7,7 @@
 
 namespace Routing {
 
-Distance distance_between(std::string const& domain, std::string const& other_domain, Regions const& regions)
+Distance distance_between(std::string const& domain, std::string const& other_domain, RegionByDomain const& regions)
 {
     if (domain == other_domain)
         return Distance::SameDomain;
@@ -18,28 +18,28 @@
 }
 
 /// Sort key of an entry among the candidate followers of an engine. The entries with the lowest keys follow it.
-static std::pair<Distance, uint64_t> follower_key(SharingEntry const& entry, SharedEngine const& engine, Regions const& regions)
+static std::pair<Distance, uint64_t> follower_key(SharingEntry const& entry, SharedEngine const& engine, RegionByDomain const& regions)
 {
     return { distance_between(entry.failure_domain, engine.failure_domain, regions), Core::stable_hash(engine.id, entry.identity) };
 }
 
-bool follows_engine(SharingEntry const& entry, std::vector<SharingEntry> const& entries, SharedEngine const& engine, Regions const& regions)
+bool follows_engine(SharingEntry const& entry, std::vector<SharingEntry> const& entries, SharedEngine const& engine, RegionByDomain const& regions)
 {
     if (entries.size() <= followers_per_engine)
         return true;
-    auto const own_key = follower_key(entry, engine, regions);
-    size_t before = 0;
+    auto const entry_key = follower_key(entry, engine, regions);
+    size_t preferred_count = 0;
     for (auto const& other : entries) {
         if (other.identity == entry.identity)
             continue;
-        before += follower_key(other, engine, regions) < own_key ? 1 : 0;
-        if (before == followers_per_engine)
+        preferred_count += follower_key(other, engine, regions) < entry_key ? 1 : 0;
+        if (preferred_count == followers_per_engine)
             return false;
     }
     return true;
 }
 
-std::vector<SharedEngine> nearest_engines(SharingEntry const& entry, std::vector<SharedEngine> engines, size_t count, Regions const& regions)
+std::vector<SharedEngine> nearest_engines(SharingEntry const& entry, std::vector<SharedEngine> engines, size_t count, RegionByDomain const& regions)
 {
     if (engines.size() <= count)
         return engines;
--- a/Libraries/LibRouting/EngineOwners.cpp
+++ b/Libraries/LibRouting/EngineOwners.cpp
@@ -9,23 +9,23 @@
 namespace Routing {
 
 // Requests per second. An entry without demand counts with this much, so that it owns engines and can serve as soon as callers come.
-static constexpr double least_demand = 1;
+static constexpr double min_demand = 1;
 
 namespace {
 
     struct Share {
         SharingEntry const* entry;
         // Number of engines that the entry's demand entitles it to, less those already assigned to it.
-        double lacks;
+        double deficit;
     };
 
-    Share* neediest(std::vector<Share>& shares, std::string const* failure_domain)
+    Share* with_greatest_deficit(std::vector<Share>& shares, std::string const* failure_domain)
     {
         Share* best = nullptr;
         for (auto& share : shares) {
             if (failure_domain && share.entry->failure_domain != *failure_domain)
                 continue;
-            if (!best || share.lacks > best->lacks)
+            if (!best || share.deficit > best->deficit)
                 best = &share;
         }
         return best;
@@ -42,27 +42,27 @@
     std::sort(engines.begin(), engines.end(), [](auto const& a, auto const& b) { return a.id < b.id; });
     double total = 0;
     for (auto const& entry : entries)
-        total += std::max(least_demand, entry.demand);
+        total += std::max(min_demand, entry.demand);
     std::vector<Share> shares;
     shares.reserve(entries.size());
     for (auto const& entry : entries)
-        shares.push_back({ &entry, std::max(least_demand, entry.demand) / total * static_cast<double>(engines.size()) });
+        shares.push_back({ &entry, std::max(min_demand, entry.demand) / total * static_cast<double>(engines.size()) });
     // First assigns engines to entries of the same failure domain whose deficit exceeds half an engine. The remaining engines go to the
     // entries with the greatest deficit in any domain.
-    std::vector<SharedEngine const*> left;
+    std::vector<SharedEngine const*> unassigned;
     for (auto const& engine : engines) {
-        auto* near = neediest(shares, &engine.failure_domain);
-        if (!near || near->lacks <= 0.5) {
-            left.push_back(&engine);
+        auto* same_domain_share = with_greatest_deficit(shares, &engine.failure_domain);
+        if (!same_domain_share || same_domain_share->deficit <= 0.5) {
+            unassigned.push_back(&engine);
             continue;
         }
-        owners[engine.id] = near->entry->identity;
-        near->lacks -= 1;
+        owners[engine.id] = same_domain_share->entry->identity;
+        same_domain_share->deficit -= 1;
     }
-    for (auto const* engine : left) {
-        auto* share = neediest(shares, nullptr);
+    for (auto const* engine : unassigned) {
+        auto* share = with_greatest_deficit(shares, nullptr);
         owners[engine->id] = share->entry->identity;
-        share->lacks -= 1;
+        share->deficit -= 1;
     }
     return owners;
 }
@@ -75,13 +75,13 @@
         // Tuples are compared in ascending order, so the inverted hash puts the greatest hash first.
         return std::tuple(candidate.failure_domain != engine.failure_domain, ~Core::stable_hash(engine.id, candidate.identity), std::string_view(candidate.identity));
     };
-    auto const own_key = key_of(entry);
-    size_t before = 0;
+    auto const entry_key = key_of(entry);
+    size_t preferred_count = 0;
     for (auto const& other : entries) {
         if (other.identity == owner || other.identity == entry.identity)
             continue;
-        before += key_of(other) < own_key ? 1 : 0;
-        if (before == helpers_per_engine)
+        preferred_count += key_of(other) < entry_key ? 1 : 0;
+        if (preferred_count == helpers_per_engine)
             return false;
     }
     return true;
--- a/Libraries/LibRouting/EngineTimes.h
+++ b/Libraries/LibRouting/EngineTimingModel.h
@@ -12,25 +12,25 @@
 ///
 /// The operator configures the model's rates. A rate that is not configured takes the default of an ordinary engine, and correction()
 /// then adjusts the predictions by the observed times to the first event of an answer.
-class EngineTimes {
+class EngineTimingModel {
 public:
-    explicit EngineTimes(Schema::EngineTiming const&);
+    explicit EngineTimingModel(Schema::EngineTiming const&);
 
     /// Prefill time of a prompt of so many tokens on an otherwise idle engine.
-    double read_ms(double tokens) const;
+    double prefill_ms(double tokens) const;
     /// Prefill time of a prompt of the usual size.
-    double read_usual_ms() const { return read_ms(m_usual_prompt); }
+    double usual_prefill_ms() const { return prefill_ms(m_usual_prompt); }
     /// Time of one decoding step, which generates one token for each of the `running` requests.
     double step_ms(double running) const;
     /// Time between two events of an answer's stream: an event carries the tokens of several decoding steps.
-    double pass_ms(double running) const { return m_stride * step_ms(running); }
+    double event_interval_ms(double running) const { return m_steps_per_event * step_ms(running); }
     /// Time that a request with a prompt and an answer of the usual size takes at a full engine. Includes the time in which the engine
     /// reads the prompts of other requests.
-    double full_service_ms() const;
-    /// As full_service_ms(), for a request with a prompt and an answer of the given size.
+    double usual_service_ms() const;
+    /// As usual_service_ms(), for a request with a prompt and an answer of the given size.
     double service_ms(double prompt_tokens, double answer_tokens) const;
     /// Mean time between two requests that end at a full engine, and so between two slots that become free.
-    double turnover_ms() const { return full_service_ms() / m_slots; }
+    double slot_interval_ms() const { return usual_service_ms() / m_slots; }
     /// Number of requests that the engine runs at once.
     double slots() const { return m_slots; }
 
@@ -39,11 +39,11 @@
     void on_first_event(double predicted_ms, double observed_ms);
     /// Factor by which the caller multiplies the predictions of this class, which don't include it. It is 1 if the operator configured
     /// every rate.
-    double correction() const { return m_is_stated ? 1 : m_correction; }
+    double correction() const { return m_is_fully_configured ? 1 : m_correction; }
 
 private:
     double m_slots;
-    double m_stride;
+    double m_steps_per_event;
     double m_step_ms;
     double m_per_sequence_ms;
     double m_context_ms_per_1000;
@@ -51,7 +51,7 @@
     double m_pairs_ms_per_million;
     double m_usual_prompt;
     double m_usual_answer;
-    bool m_is_stated;
+    bool m_is_fully_configured;
     double m_correction { 1 };
 };
 
--- a/Libraries/LibRouting/FollowedEngines.cpp
+++ b/Libraries/LibRouting/FollowedEngines.cpp
@@ -7,12 +7,12 @@
 
 // An entry that has just started knows no other entries yet, and would follow all engines. For this long it follows a few of the
 // nearest engines only. It learns of other entries within one or two round trips of its first link, which takes some 100 ms.
-static constexpr Core::Duration acquaintance { 1500 };
-static constexpr size_t engines_before_acquaintance = 64;
+static constexpr Core::Duration discovery_time { 1500 };
+static constexpr size_t max_engines_during_discovery = 64;
 // The owners of engines change with the demand, every second. Links are kept for a few such changes.
-static constexpr Core::Duration use_memory { 5000 };
+static constexpr Core::Duration use_retention { 5000 };
 
-FollowedEngines::FollowedEngines(SharingEntry self, Regions regions)
+FollowedEngines::FollowedEngines(SharingEntry self, RegionByDomain regions)
     : m_self(std::move(self))
     , m_regions(std::move(regions))
 {
@@ -23,14 +23,14 @@
     if (!m_listed_since && !engines.empty())
         m_listed_since = now;
     for (auto const& ip : used)
-        m_used_until[ip] = now + use_memory;
-    std::erase_if(m_used_until, [&](auto const& entry) { return entry.second <= now; });
-    bool const is_new_here = m_listed_since && now - *m_listed_since < acquaintance;
-    if (is_new_here)
-        engines = nearest_engines(m_self, std::move(engines), engines_before_acquaintance, m_regions);
+        m_followed_for_use_until[ip] = now + use_retention;
+    std::erase_if(m_followed_for_use_until, [&](auto const& entry) { return entry.second <= now; });
+    bool const is_discovering = m_listed_since && now - *m_listed_since < discovery_time;
+    if (is_discovering)
+        engines = nearest_engines(m_self, std::move(engines), max_engines_during_discovery, m_regions);
     std::set<std::string> followed;
     for (auto const& engine : engines) {
-        if (m_used_until.contains(engine.id) || follows_engine(m_self, entries, engine, m_regions))
+        if (m_followed_for_use_until.contains(engine.id) || follows_engine(m_self, entries, engine, m_regions))
             followed.insert(engine.id);
     }
     bool const has_changed = followed != m_followed;
--- a/Libraries/LibRouting/FollowedEngines.h
+++ b/Libraries/LibRouting/FollowedEngines.h
@@ -18,7 +18,7 @@
 /// Of an engine that it doesn't follow, an entry only knows that the list of backend servers names it, and sends no requests to it.
 class FollowedEngines {
 public:
-    FollowedEngines(SharingEntry self, Regions);
+    FollowedEngines(SharingEntry self, RegionByDomain);
 
     /// Determines the set anew.
     /// @param engines the engines in the list of backend servers, with the IP address as id.
@@ -32,11 +32,11 @@
 
 private:
     SharingEntry m_self;
-    Regions m_regions;
+    RegionByDomain m_regions;
     // When update() first received any engines.
     std::optional<Core::Time> m_listed_since;
     // Engines that this entry is or recently was owner or helper of, and until when it follows them for that reason.
-    std::map<std::string, Core::Time> m_used_until;
+    std::map<std::string, Core::Time> m_followed_for_use_until;
     std::set<std::string> m_followed;
 };
 
--- a/Libraries/LibRouting/InstanceTable.cpp
+++ b/Libraries/LibRouting/InstanceTable.cpp
@@ -31,7 +31,7 @@
         return;
     found->second.is_linked = true;
     found->second.has_reported = false;
-    found->second.is_held_back = false;
+    found->second.is_refusing = false;
 }
 
 void InstanceTable::on_link_down(std::string const& id)
@@ -52,8 +52,8 @@
     auto& state = found->second;
     state.report = report;
     state.has_reported = true;
-    state.is_held_back = false;
-    state.own_at_report = state.own_in_flight;
+    state.is_refusing = false;
+    state.own_in_flight_at_report = state.own_in_flight;
     if (report.warm_prefixes)
         state.warm = std::set<std::string>(report.warm_prefixes->begin(), report.warm_prefixes->end());
 }
@@ -62,42 +62,42 @@
 {
     // Requests of other entries as of the last report, and requests of this entry as of now.
     auto const reported = static_cast<size_t>(std::max<int64_t>(0, state.report.in_flight));
-    auto const others = reported > state.own_at_report ? reported - state.own_at_report : 0;
+    auto const others = reported > state.own_in_flight_at_report ? reported - state.own_in_flight_at_report : 0;
     return others + state.own_in_flight;
 }
 
-double InstanceTable::pressure(State const& state) const
+double InstanceTable::relative_load(State const& state) const
 {
     auto const capacity = std::max<double>(1, static_cast<double>(state.report.capacity));
     // The load that the backend server measures itself only breaks ties: it is too delayed to decide.
     return static_cast<double>(load(state)) / capacity + 0.1 * state.report.engine_load;
 }
 
-bool InstanceTable::can_take(State const& state, RouteNeeds const& needs) const
+bool InstanceTable::can_serve(State const& state, InstanceRequirements const& requirements) const
 {
     if (!state.is_linked || !state.has_reported || state.is_leaving || state.report.draining)
         return false;
-    if (!needs.model)
+    if (!requirements.model)
         return true;
     auto const& serving = state.report.serving;
-    if (!serving || serving->model != *needs.model)
+    if (!serving || serving->model != *requirements.model)
         return false;
-    return !needs.version || serving->version == *needs.version;
+    return !requirements.version || serving->version == *requirements.version;
 }
 
-std::vector<std::string> InstanceTable::candidates(RouteNeeds const& needs, Core::Time now, bool& saw_busy) const
+std::vector<std::string> InstanceTable::candidates(InstanceRequirements const& requirements, Core::Time now, bool& saw_busy) const
 {
     std::vector<std::string> ids;
     std::vector<std::string> ejected;
     for (auto const& [id, state] : m_instances) {
-        if (state.service != needs.service || needs.excluded.contains(id) || !can_take(state, needs))
+        if (state.service != requirements.service || requirements.excluded.contains(id) || !can_serve(state, requirements))
             continue;
-        if (needs.home && *needs.home != id)
+        if (requirements.required_instance && *requirements.required_instance != id)
             continue;
         // Only this entry's requests count here. The number of other entries' requests is as old as the last report: it influences
         // the choice, but must not leave free slots unused.
         bool const is_full = state.own_in_flight >= static_cast<size_t>(std::max<int64_t>(0, state.report.capacity));
-        if (is_full || state.is_held_back) {
+        if (is_full || state.is_refusing) {
             saw_busy = true;
             continue;
         }
@@ -112,55 +112,55 @@
     return ids;
 }
 
-std::string InstanceTable::least_of_two(std::vector<std::string> const& ids)
+std::string InstanceTable::less_loaded_of_two(std::vector<std::string> const& ids)
 {
     auto const& first = ids[m_random() % ids.size()];
     auto const& second = ids[m_random() % ids.size()];
-    return pressure(m_instances.at(second)) < pressure(m_instances.at(first)) ? second : first;
+    return relative_load(m_instances.at(second)) < relative_load(m_instances.at(first)) ? second : first;
 }
 
-std::string InstanceTable::by_prefix(std::vector<std::string> const& ids, std::string const& prefix)
+std::string InstanceTable::choose_by_prefix(std::vector<std::string> const& ids, std::string const& prefix)
 {
     double total = 0;
     for (auto const& id : ids)
         total += static_cast<double>(load(m_instances.at(id)));
-    double const bound = m_settings.load_bound * (total + 1) / static_cast<double>(ids.size());
+    double const bound = m_settings.max_load_ratio * (total + 1) / static_cast<double>(ids.size());
     auto fits = [&](std::string const& id) { return static_cast<double>(load(m_instances.at(id))) < bound; };
 
-    std::string warmest;
+    std::string best_cached;
     for (auto const& id : ids) {
         auto const& state = m_instances.at(id);
         if (!state.warm.contains(prefix) || !fits(id))
             continue;
-        if (warmest.empty() || pressure(state) < pressure(m_instances.at(warmest)))
-            warmest = id;
+        if (best_cached.empty() || relative_load(state) < relative_load(m_instances.at(best_cached)))
+            best_cached = id;
     }
-    if (!warmest.empty())
-        return warmest;
+    if (!best_cached.empty())
+        return best_cached;
     // No candidate below the load limit is known to have cached the prefix. The rendezvous order sends later requests with the same
     // prefix to the same instance.
     for (auto const& id : Core::rendezvous_order(prefix, ids)) {
         if (fits(id))
             return id;
     }
-    return least_of_two(ids);
+    return less_loaded_of_two(ids);
 }
 
-tl::expected<std::string, Schema::Reason> InstanceTable::choose(RouteNeeds const& needs, Core::Time now)
+tl::expected<std::string, Schema::Reason> InstanceTable::choose(InstanceRequirements const& requirements, Core::Time now)
 {
     bool saw_busy = false;
-    auto const ids = candidates(needs, now, saw_busy);
+    auto const ids = candidates(requirements, now, saw_busy);
     if (ids.empty())
         return tl::unexpected(saw_busy ? Schema::Reason::InstanceBusy : Schema::Reason::NoInstance);
     switch (m_settings.choice) {
     case Schema::Choice::Random:
         return ids[m_random() % ids.size()];
     case Schema::Choice::LeastLoaded:
-        return least_of_two(ids);
+        return less_loaded_of_two(ids);
     case Schema::Choice::Prefix:
         break;
     }
-    return needs.prefix.empty() ? least_of_two(ids) : by_prefix(ids, needs.prefix);
+    return requirements.prefix.empty() ? less_loaded_of_two(ids) : choose_by_prefix(ids, requirements.prefix);
 }
 
 void InstanceTable::on_started(std::string const& id)
@@ -178,10 +178,10 @@
     auto& state = found->second;
     if (state.own_in_flight > 0)
         state.own_in_flight -= 1;
-    state.own_at_report = std::min(state.own_at_report, state.own_in_flight);
+    state.own_in_flight_at_report = std::min(state.own_in_flight_at_report, state.own_in_flight);
     // Other outcomes mean that a slot became free at the instance.
     if (outcome != InstanceOutcome::Neutral)
-        state.is_held_back = false;
+        state.is_refusing = false;
     if (outcome == InstanceOutcome::Success) {
         state.failures = 0;
         state.ejections = 0;
@@ -205,9 +205,9 @@
         return;
     if (reason == Schema::Reason::Draining)
         found->second.report.draining = true;
-    bool const says_something_of_now = reason == Schema::Reason::InstanceBusy || reason == Schema::Reason::VersionNotReady;
-    if (says_something_of_now)
-        found->second.is_held_back = true;
+    bool const is_temporary = reason == Schema::Reason::InstanceBusy || reason == Schema::Reason::VersionNotReady;
+    if (is_temporary)
+        found->second.is_refusing = true;
 }
 
 bool InstanceTable::is_usable(std::string const& id) const
@@ -232,7 +232,7 @@
     return found->second.report.serving;
 }
 
-std::vector<std::string> InstanceTable::ready_with(std::string const& model, std::string const& version) const
+std::vector<std::string> InstanceTable::instances_serving(std::string const& model, std::string const& version) const
 {
     std::vector<std::string> ready;
     for (auto const& [id, state] : m_instances) {
--- a/Libraries/LibRouting/InstanceTable.h
+++ b/Libraries/LibRouting/InstanceTable.h
@@ -14,7 +14,7 @@
 namespace Routing {
 
 /// Criteria by which InstanceTable::choose() selects the instance for a request.
-struct RouteNeeds {
+struct InstanceRequirements {
     std::string service;
     /// Model that the instance must serve; std::nullopt for a service without a model.
     std::optional<std::string> model;
@@ -25,7 +25,7 @@
     /// Instances that must not be chosen, as earlier attempts of the request went to them.
     std::set<std::string> excluded;
     /// The only instance that may be chosen, if the request's key is bound to one.
-    std::optional<std::string> home;
+    std::optional<std::string> required_instance;
 };
 
 /// Outcome of a request at an instance, as far as it says something about the instance.
@@ -41,7 +41,7 @@
     Schema::Choice choice { Schema::Choice::Prefix };
     /// Limit of an instance's load, as a multiple of the mean load of all candidates. Above it, an instance is not preferred for a
     /// cached prefix any more.
-    double load_bound { 1.25 };
+    double max_load_ratio { 1.25 };
     /// Number of failures in a row after which an instance is ejected: requests avoid it for a while.
     size_t failures_to_eject { 3 };
     /// Duration of the first ejection. Each further one lasts twice as long, up to the longest, until a request succeeds.
@@ -69,7 +69,7 @@
 
     /// Returns the id of the instance to send a request to. The error is InstanceBusy if instances that could serve it are there but
     /// are full or have just refused a request, and NoInstance if there are none.
-    tl::expected<std::string, Schema::Reason> choose(RouteNeeds const&, Core::Time now);
+    tl::expected<std::string, Schema::Reason> choose(InstanceRequirements const&, Core::Time now);
 
     /// This entry sent a request to the instance.
     void on_started(std::string const& id);
@@ -86,7 +86,7 @@
     /// Model and version that the instance reported to serve; std::nullopt if none, or if it hasn't reported over its present link.
     std::optional<Schema::Weights> serving(std::string const& id) const;
     /// Ids of the instances whose last report says that they serve this version of the model, sorted.
-    std::vector<std::string> ready_with(std::string const& model, std::string const& version) const;
+    std::vector<std::string> instances_serving(std::string const& model, std::string const& version) const;
     /// Number of requests that this entry has in flight at the instance.
     size_t own_in_flight(std::string const& id) const;
 
@@ -96,23 +96,23 @@
         bool is_leaving { false };
         bool is_linked { false };
         bool has_reported { false };
-        bool is_held_back { false };
+        bool is_refusing { false };
         Schema::Report report {};
         std::set<std::string> warm;
         size_t own_in_flight { 0 };
         // How many of the requests counted by the last report are this entry's.
-        size_t own_at_report { 0 };
+        size_t own_in_flight_at_report { 0 };
         size_t failures { 0 };
         size_t ejections { 0 };
         Core::Time ejected_until { 0 };
     };
 
     size_t load(State const&) const;
-    double pressure(State const&) const;
-    bool can_take(State const&, RouteNeeds const&) const;
-    std::vector<std::string> candidates(RouteNeeds const&, Core::Time now, bool& saw_busy) const;
-    std::string least_of_two(std::vector<std::string> const&);
-    std::string by_prefix(std::vector<std::string> const&, std::string const& prefix);
+    double relative_load(State const&) const;
+    bool can_serve(State const&, InstanceRequirements const&) const;
+    std::vector<std::string> candidates(InstanceRequirements const&, Core::Time now, bool& saw_busy) const;
+    std::string less_loaded_of_two(std::vector<std::string> const&);
+    std::string choose_by_prefix(std::vector<std::string> const&, std::string const& prefix);
 
     InstanceTableSettings m_settings;
     std::mt19937_64 m_random;
--- a/Libraries/LibRouting/RequestQueue.h
+++ b/Libraries/LibRouting/RequestQueue.h
@@ -41,7 +41,7 @@
     void offer(std::function<bool(uint64_t)> const& start);
 
     /// Updates the estimates: a request of this service ended at an instance, `took` after it was sent there.
-    void on_completed(Core::Time now, Core::Duration took);
+    void on_completed(Core::Time now, Core::Duration duration);
 
     /// Mean time that a request takes at an instance; 0 until one has ended.
     Core::Duration expected_service() const;
@@ -49,7 +49,7 @@
     /// Expected wait of a request pushed now, behind all queued requests of the same and of more urgent priorities.
     Core::Duration expected_wait(int priority) const;
 
-    size_t size() const { return m_where.size(); }
+    size_t size() const { return m_positions.size(); }
 
 private:
     struct Level {
@@ -59,16 +59,16 @@
         size_t size { 0 };
     };
 
-    size_t ahead_of(int priority) const;
+    size_t count_ahead_of(int priority) const;
 
     size_t m_limit;
     std::map<int, Level> m_levels;
-    std::map<uint64_t, std::pair<int, std::string>> m_where;
+    std::map<uint64_t, std::pair<int, std::string>> m_positions;
     // Mean time between completions in milliseconds; 0 while unknown.
-    double m_mean_gap_ms { 0 };
+    double m_mean_completion_interval_ms { 0 };
     double m_mean_service_ms { 0 };
     std::optional<Core::Time> m_last_completed;
-    size_t m_completed_in_tick { 0 };
+    size_t m_completed_at_same_time { 0 };
 };
 
 }
--- a/Libraries/LibRouting/RouteTable.cpp
+++ b/Libraries/LibRouting/RouteTable.cpp
@@ -26,9 +26,9 @@
 Schema::Route const* RouteTable::find(std::string_view host, std::string_view path) const
 {
     auto const* found = longest_match(std::string(host), path);
-    auto const* everywhere = longest_match(any_host, path);
-    bool const is_more_specific = everywhere && (!found || everywhere->path_prefix.size() >= found->path_prefix.size());
-    return is_more_specific ? everywhere : found;
+    auto const* any_host_match = longest_match(any_host, path);
+    bool const is_any_host_more_specific = any_host_match && (!found || any_host_match->path_prefix.size() >= found->path_prefix.size());
+    return is_any_host_more_specific ? any_host_match : found;
 }
 
 Schema::Route const* RouteTable::longest_match(std::string const& host, std::string_view path) const
--- a/Libraries/LibRouting/ServerTable.cpp
+++ b/Libraries/LibRouting/ServerTable.cpp
@@ -10,10 +10,10 @@
 namespace Routing {
 
 // Agents report at least every second. An older report is not used.
-static constexpr Core::Duration report_is_fresh { 2500 };
+static constexpr Core::Duration max_report_age { 2500 };
 static constexpr Core::Duration first_suspension { 400 };
 static constexpr Core::Duration longest_suspension { 4000 };
-static constexpr Core::Duration full_wait { 60 };
+static constexpr Core::Duration full_suspension { 60 };
 static constexpr int64_t failures_to_suspend = 4;
 // A full engine sends events to its running requests every few tens of milliseconds.
 static constexpr Core::Duration answering_within { 600 };
@@ -23,25 +23,25 @@
 static constexpr Core::Duration misdirected_suspension { 1000 };
 // Time from the order to load a version until the engine serves it, and from an empty engine's first report until it serves, if a copy
 // of the weights is already on its instance. Measured on engines that had lost power.
-static constexpr Core::Duration usual_load { 400 };
-static constexpr Core::Duration usual_refill { 700 };
+static constexpr Core::Duration usual_load_time { 400 };
+static constexpr Core::Duration usual_refill_time { 700 };
 // Weight of the previous value in the moving average of the failure rate.
-static constexpr double failure_memory = 0.9;
+static constexpr double previous_failure_rate_weight = 0.9;
 // A server that fails every request costs as much as one that is this many milliseconds slower.
-static constexpr double failure_cost_ms = 400;
+static constexpr double failure_penalty_ms = 400;
 // Cost of the traffic between regions and between failure domains, as the time that a request may wait longer instead.
-static constexpr double other_region_ms = 25;
-static constexpr double other_domain_ms = 8;
+static constexpr double other_region_penalty_ms = 25;
+static constexpr double other_domain_penalty_ms = 8;
 // Assumed time of an answer of a plain service.
-static constexpr double plain_answer_ms = 30;
+static constexpr double plain_service_answer_ms = 30;
 // Entries learn late what others send to an engine, so all that see it idle would collide there. These penalties make its owner use it
 // before its helpers, and its helpers before all other entries.
-static constexpr double helper_ms = 40;
-static constexpr double other_ms = 160;
+static constexpr double helper_penalty_ms = 40;
+static constexpr double other_role_penalty_ms = 160;
 // Penalty of a server that may terminate at any moment: half of the usual objective for the first event.
-static constexpr double avoided_ms = 250;
+static constexpr double avoided_penalty_ms = 250;
 // Penalty for each request that would be aborted if the server terminated, in relation to the cost of a slot in another region.
-static constexpr double company_ms = 50;
+static constexpr double request_at_risk_penalty_ms = 50;
 
 static bool is_earlier_start(std::optional<int64_t> started_at_ms, std::optional<int64_t> known)
 {
@@ -49,9 +49,9 @@
 }
 
 /// Whether the server's latest incarnation is leaving. A list entry of an earlier incarnation says nothing about the latest one.
-static bool is_leaving(Schema::BackendServer const& entry, std::optional<int64_t> latest_start)
+static bool is_leaving(Schema::BackendServer const& record, std::optional<int64_t> latest_start)
 {
-    return entry.is_draining && !is_earlier_start(entry.started_at_ms, latest_start);
+    return record.is_draining && !is_earlier_start(record.started_at_ms, latest_start);
 }
 
 ServerTable::ServerTable(ServerTableSettings settings, uint64_t seed)
@@ -61,29 +61,29 @@
 }
 
 /// Version of its service's model that the engine holds completely according to the list; 0 if none. Other models are ignored.
-static int64_t listed_version(Schema::BackendServer const& entry, Schema::EngineTiming const& timing)
+static int64_t listed_version(Schema::BackendServer const& record, Schema::EngineTiming const& timing)
 {
-    auto held = entry.held;
+    auto held = record.held;
     std::erase_if(held, [&](auto const& part) { return part.model != timing.model; });
     return Configuration::whole_version(std::move(held), timing.layers.value_or(0));
 }
 
-void ServerTable::set_server(Schema::BackendServer const& entry, Core::Time now)
+void ServerTable::set_server(Schema::BackendServer const& record, Core::Time now)
 {
-    auto& server = m_servers[entry.id];
-    server.entry = entry;
-    server.ip = entry.address.substr(0, entry.address.rfind(':'));
-    note_start(server, entry.started_at_ms, now);
-    auto const* service = engine_service(entry.service);
-    server.listed_version = service ? listed_version(entry, service->timing) : 0;
+    auto& server = m_servers[record.id];
+    server.record = record;
+    server.ip = record.address.substr(0, record.address.rfind(':'));
+    record_start(server, record.started_at_ms, now);
+    auto const* service = engine_service(record.service);
+    server.listed_version = service ? listed_version(record, service->timing) : 0;
 }
 
-void ServerTable::begin_incarnation(Server& server)
+void ServerTable::reset_for_new_incarnation(Server& server)
 {
     for (auto const& [request, pending] : server.pending)
-        server.sent_before.insert(request);
+        server.sent_to_earlier_incarnations.insert(request);
     server.pending.clear();
-    server.heard_at.reset();
+    server.last_received_at.reset();
     server.suspended_until = Core::Time(0);
     server.unreachable_at.reset();
     server.full_until = Core::Time(0);
@@ -92,15 +92,15 @@
     server.failure_rate = 0;
 }
 
-void ServerTable::note_start(Server& server, std::optional<int64_t> started_at_ms, Core::Time now)
+void ServerTable::record_start(Server& server, std::optional<int64_t> started_at_ms, Core::Time now)
 {
     if (!started_at_ms || (server.started_at_ms && *started_at_ms <= *server.started_at_ms))
         return;
     // The first known start of a server may be that of the incarnation known all along.
     if (server.started_at_ms)
-        begin_incarnation(server);
+        reset_for_new_incarnation(server);
     server.started_at_ms = started_at_ms;
-    server.known_since = now;
+    server.started_at_known_since = now;
 }
 
 std::optional<int64_t> ServerTable::started_at_ms(std::string const& id) const
@@ -122,10 +122,10 @@
     if (is_same)
         return;
     auto const layers = timing.layers.value_or(0);
-    m_engine_services.insert_or_assign(service, EngineService { timing, EngineTimes(timing), layers });
+    m_engine_services.insert_or_assign(service, EngineService { timing, EngineTimingModel(timing), layers });
     for (auto& [id, server] : m_servers) {
-        if (server.entry.service == service)
-            server.listed_version = listed_version(server.entry, timing);
+        if (server.record.service == service)
+            server.listed_version = listed_version(server.record, timing);
     }
 }
 
@@ -134,22 +134,22 @@
     auto const known = m_reported.find(ip);
     bool const is_earlier = known != m_reported.end() && is_earlier_start(state.started_at_ms, known->second.state.started_at_ms);
     // Reports of an agent arrive in order over one link, but not necessarily over two links.
-    if (is_earlier && now - known->second.at <= report_is_fresh)
+    if (is_earlier && now - known->second.at <= max_report_age)
         return;
     int64_t own = 0;
     for (auto& [id, server] : m_servers) {
         if (server.ip != ip)
             continue;
         // The report is about the engine only, not about plain servers at the same address.
-        if (engine_service(server.entry.service))
-            note_start(server, state.started_at_ms, now);
-        if (server.is_in_reach)
+        if (engine_service(server.record.service))
+            record_start(server, state.started_at_ms, now);
+        if (server.is_selectable)
             own += static_cast<int64_t>(server.pending.size());
     }
     m_reported[ip] = { .state = state, .at = now, .own_in_flight = own, .own_sent = 0 };
 }
 
-void ServerTable::on_agent_gone(std::string const& ip)
+void ServerTable::on_agent_disconnected(std::string const& ip)
 {
     m_reported.erase(ip);
 }
@@ -157,18 +157,18 @@
 ServerTable::Reported const* ServerTable::reported(Server const& server, Core::Time now) const
 {
     auto const found = m_reported.find(server.ip);
-    if (found == m_reported.end() || now - found->second.at > report_is_fresh)
+    if (found == m_reported.end() || now - found->second.at > max_report_age)
         return nullptr;
-    return is_overtaken(server, found->second) ? nullptr : &found->second;
+    return is_outdated_report(server, found->second) ? nullptr : &found->second;
 }
 
-bool ServerTable::is_overtaken(Server const& server, Reported const& report)
+bool ServerTable::is_outdated_report(Server const& server, Reported const& report)
 {
     if (!is_earlier_start(report.state.started_at_ms, server.started_at_ms))
         return false;
     // If the agent still reports the earlier start after the time in which a newer report must have arrived, it is right: the
     // instance's clock was set back.
-    return report.at - server.known_since <= report_is_fresh;
+    return report.at - server.started_at_known_since <= max_report_age;
 }
 
 ServerTable::EngineService const* ServerTable::engine_service(std::string const& service) const
@@ -182,7 +182,7 @@
     if (auto const* report = reported(server, now))
         return report->state.version;
     // What an earlier incarnation held, as listed, was lost when it terminated.
-    return is_earlier_start(server.entry.started_at_ms, server.started_at_ms) ? 0 : server.listed_version;
+    return is_earlier_start(server.record.started_at_ms, server.started_at_ms) ? 0 : server.listed_version;
 }
 
 int64_t ServerTable::version_of(std::string const& id, Core::Time now) const
@@ -194,18 +194,18 @@
 int64_t ServerTable::version_at(std::string const& ip, Core::Time now) const
 {
     auto const found = m_reported.find(ip);
-    bool const is_known = found != m_reported.end() && now - found->second.at <= report_is_fresh;
+    bool const is_known = found != m_reported.end() && now - found->second.at <= max_report_age;
     return is_known ? found->second.state.version : 0;
 }
 
-bool ServerTable::is_usable(Server const& server, ServerNeeds const& needs, Core::Time now) const
+bool ServerTable::is_usable(Server const& server, ServerRequirements const& requirements, Core::Time now) const
 {
-    if (is_leaving(server.entry, server.started_at_ms) || now < server.suspended_until)
+    if (is_leaving(server.record, server.started_at_ms) || now < server.suspended_until)
         return false;
     // A server that holds a model belongs to a service of engines, and can't be used while that service's timing and versions are
     // unknown.
-    if (!engine_service(server.entry.service))
-        return server.entry.held.empty();
+    if (!engine_service(server.record.service))
+        return server.record.held.empty();
     auto const* report = reported(server, now);
     // An engine that executes an order, or is about to, accepts no new requests until the order is done.
     if (report && report->state.is_busy)
@@ -213,9 +213,9 @@
     auto const version = version_of(server, now);
     // A request sent to an engine whose agent is silent may only begin when the engine resumes after a pause, long after its version had
     // to be replaced.
-    if (!report && version < needs.newest_version)
+    if (!report && version < requirements.newest_version)
         return false;
-    return version > 0 && (!needs.required_version || version >= *needs.required_version);
+    return version > 0 && (!requirements.required_version || version >= *requirements.required_version);
 }
 
 int64_t ServerTable::others_in_flight(Server const& server, Core::Time now) const
@@ -226,10 +226,10 @@
     return std::max<int64_t>(0, report->state.running + report->state.waiting - report->own_in_flight);
 }
 
-void ServerTable::set_reach(std::set<std::string> const& ips)
+void ServerTable::set_selectable_engines(std::set<std::string> const& ips)
 {
     for (auto& [id, server] : m_servers)
-        server.is_in_reach = !engine_service(server.entry.service) || ips.contains(server.ip);
+        server.is_selectable = !engine_service(server.record.service) || ips.contains(server.ip);
 }
 
 void ServerTable::set_roles(std::map<std::string, EngineRole> roles)
@@ -242,15 +242,15 @@
     // Without owners, every entry uses all engines like an owner.
     if (!m_roles)
         return EngineRole::Owner;
-    auto const found = m_roles->find(server.entry.id);
+    auto const found = m_roles->find(server.record.id);
     return found == m_roles->end() ? EngineRole::Other : found->second;
 }
 
-int64_t ServerTable::room(Server const& server, Core::Time now) const
+int64_t ServerTable::free_slots(Server const& server, Core::Time now) const
 {
     auto const own = static_cast<int64_t>(server.pending.size());
-    auto const slots = server.entry.slots;
-    bool const is_engine = engine_service(server.entry.service) != nullptr;
+    auto const slots = server.record.slots;
+    bool const is_engine = engine_service(server.record.service) != nullptr;
     if (!is_engine)
         return slots - own;
     bool const is_owner = role(server) == EngineRole::Owner;
@@ -259,78 +259,78 @@
         // takes all but the reserve, and others take one slot.
         if (!m_roles)
             return std::max<int64_t>(1, slots / static_cast<int64_t>(m_entries)) - own;
-        return (is_owner ? slots - m_settings.reserve : 1) - own;
+        return (is_owner ? slots - m_settings.owner_reserve : 1) - own;
     }
     auto const taken = own + others_in_flight(server, now);
-    return (is_owner ? slots + m_settings.allowed_queue : slots - m_settings.reserve) - taken;
+    return (is_owner ? slots + m_settings.owner_queue_limit : slots - m_settings.owner_reserve) - taken;
 }
 
-int64_t ServerTable::sharers(EngineRole role) const
+int64_t ServerTable::sharing_entry_count(EngineRole role) const
 {
     // The owner keeps filling the engine meanwhile, so it counts as well.
     return static_cast<int64_t>(role == EngineRole::Helper ? helpers_per_engine + 1 : std::max<size_t>(m_entries, helpers_per_engine + 1));
 }
 
-bool ServerTable::is_of_use(std::string const& id) const
+bool ServerTable::may_use(std::string const& id) const
 {
     auto const found = m_servers.find(id);
     if (found == m_servers.end())
         return false;
     auto const& server = found->second;
     auto const role = this->role(server);
-    bool const is_shared_out = m_settings.shares_reported_room && role == EngineRole::Other;
-    return !is_shared_out || server.entry.slots - m_settings.reserve >= sharers(role);
+    bool const is_shared_out = m_settings.shares_reported_slots && role == EngineRole::Other;
+    return !is_shared_out || server.record.slots - m_settings.owner_reserve >= sharing_entry_count(role);
 }
 
-bool ServerTable::has_taken_its_part(Server const& server, Core::Time now) const
+bool ServerTable::has_used_its_share(Server const& server, Core::Time now) const
 {
     auto const* report = reported(server, now);
     auto const role = this->role(server);
-    if (!m_settings.shares_reported_room || !report || role == EngineRole::Owner)
+    if (!m_settings.shares_reported_slots || !report || role == EngineRole::Owner)
         return false;
-    auto const spare = server.entry.slots - m_settings.reserve - report->state.running - report->state.waiting;
-    auto const part = spare / sharers(role);
+    auto const spare = server.record.slots - m_settings.owner_reserve - report->state.running - report->state.waiting;
+    auto const part = spare / sharing_entry_count(role);
     return report->own_sent >= std::max<int64_t>(role == EngineRole::Helper ? 1 : 0, part);
 }
 
-bool ServerTable::has_room(Server const& server, Core::Time now) const
+bool ServerTable::has_free_slot_at(Server const& server, Core::Time now) const
 {
-    return now >= server.full_until && room(server, now) > 0 && !has_taken_its_part(server, now);
+    return now >= server.full_until && free_slots(server, now) > 0 && !has_used_its_share(server, now);
 }
 
-double ServerTable::distance_ms(Server const& server) const
+double ServerTable::distance_penalty_ms(Server const& server) const
 {
-    if (server.entry.failure_domain == m_settings.failure_domain)
+    if (server.record.failure_domain == m_settings.failure_domain)
         return 0;
-    auto const region = m_settings.regions.find(server.entry.failure_domain);
+    auto const region = m_settings.regions.find(server.record.failure_domain);
     bool const is_same_region = region != m_settings.regions.end() && region->second == m_settings.region;
-    return is_same_region ? other_domain_ms : other_region_ms;
+    return is_same_region ? other_domain_penalty_ms : other_region_penalty_ms;
 }
 
-Core::Duration ServerTable::turnover(std::string const& service) const
+Core::Duration ServerTable::server_slot_interval(std::string const& service) const
 {
     auto const* model = engine_service(service);
     if (!model)
-        return Core::Duration(static_cast<int64_t>(plain_answer_ms));
-    return Core::Duration(static_cast<int64_t>(std::ceil(model->times.turnover_ms() * model->times.correction())));
+        return Core::Duration(static_cast<int64_t>(plain_service_answer_ms));
+    return Core::Duration(static_cast<int64_t>(std::ceil(model->times.slot_interval_ms() * model->times.correction())));
 }
 
-Core::Duration ServerTable::place_interval(std::string const& service, Core::Time now) const
+Core::Duration ServerTable::slot_interval(std::string const& service, Core::Time now) const
 {
     auto const filled = std::count_if(m_servers.begin(), m_servers.end(), [&](auto const& entry) {
         auto const& server = entry.second;
-        return server.is_in_reach && server.entry.service == service && role(server) == EngineRole::Owner && is_usable(server, ServerNeeds { .service = service }, now);
+        return server.is_selectable && server.record.service == service && role(server) == EngineRole::Owner && is_usable(server, ServerRequirements { .service = service }, now);
     });
-    return turnover(service) / std::max<int64_t>(1, filled);
+    return server_slot_interval(service) / std::max<int64_t>(1, filled);
 }
 
-Core::Duration ServerTable::least_first_event(std::string const& service, int64_t prompt_tokens) const
+Core::Duration ServerTable::min_time_to_first_event(std::string const& service, int64_t prompt_tokens) const
 {
     auto const* model = engine_service(service);
     if (!model)
         return Core::Duration(0);
     auto const& times = model->times;
-    return Core::Duration(static_cast<int64_t>(times.correction() * (times.pass_ms(times.slots()) + times.read_ms(static_cast<double>(prompt_tokens)))));
+    return Core::Duration(static_cast<int64_t>(times.correction() * (times.event_interval_ms(times.slots()) + times.prefill_ms(static_cast<double>(prompt_tokens)))));
 }
 
 Core::Duration ServerTable::service_time(std::string const& service, int64_t prompt_tokens, int64_t answer_tokens) const
@@ -341,103 +341,103 @@
     return Core::Duration(static_cast<int64_t>(model->times.correction() * model->times.service_ms(static_cast<double>(prompt_tokens), static_cast<double>(answer_tokens))));
 }
 
-std::optional<Core::Duration> ServerTable::next_engine(std::string const& service, Core::Time now) const
+std::optional<Core::Duration> ServerTable::time_until_next_engine(std::string const& service, Core::Time now) const
 {
     std::optional<Core::Duration> next;
     for (auto const& [id, server] : m_servers) {
-        if (!server.is_in_reach || server.entry.service != service || is_leaving(server.entry, server.started_at_ms))
+        if (!server.is_selectable || server.record.service != service || is_leaving(server.record, server.started_at_ms))
             continue;
         auto const* report = reported(server, now);
         if (!report)
             continue;
         bool const is_empty = report->state.version == 0;
         if (report->state.is_busy)
-            next = std::min(next.value_or(usual_load), usual_load);
+            next = std::min(next.value_or(usual_load_time), usual_load_time);
         else if (is_empty)
-            next = next.value_or(usual_refill);
+            next = next.value_or(usual_refill_time);
     }
     return next;
 }
 
-ServerTable::Load ServerTable::load(Server const& server, EngineTimes const& times, Core::Time now) const
+ServerTable::Load ServerTable::load(Server const& server, EngineTimingModel const& times, Core::Time now) const
 {
     auto const own = static_cast<double>(server.pending.size());
     auto const others = static_cast<double>(others_in_flight(server, now));
     Load load;
     load.running = std::min(times.slots(), own + others);
-    load.ahead = std::max(0.0, own + others + 1 - times.slots());
+    load.queued_ahead = std::max(0.0, own + others + 1 - times.slots());
     for (auto const& [request, pending] : server.pending) {
         if (!pending.has_first_event)
-            load.unread_ms += times.read_ms(static_cast<double>(pending.prompt_tokens));
+            load.pending_prefill_ms += times.prefill_ms(static_cast<double>(pending.prompt_tokens));
     }
     if (auto const* report = reported(server, now)) {
         auto const waiting_of_others = std::min(others, static_cast<double>(report->state.waiting));
-        load.unread_ms += waiting_of_others * times.read_usual_ms();
+        load.pending_prefill_ms += waiting_of_others * times.usual_prefill_ms();
     }
     return load;
 }
 
-double ServerTable::predicted_ms(Server const& server, ServerNeeds const& needs, Core::Time now) const
+double ServerTable::predicted_ms(Server const& server, ServerRequirements const& requirements, Core::Time now) const
 {
-    auto const* model = engine_service(server.entry.service);
+    auto const* model = engine_service(server.record.service);
     if (!model)
-        return plain_answer_ms * (1 + static_cast<double>(server.pending.size()));
+        return plain_service_answer_ms * (1 + static_cast<double>(server.pending.size()));
     auto const& times = model->times;
     auto const load = this->load(server, times, now);
-    auto const queue = load.ahead * times.turnover_ms();
+    auto const queue = load.queued_ahead * times.slot_interval_ms();
     auto const* report = reported(server, now);
     auto const pace = report ? std::max(1.0, report->state.pace) : 1.0;
     // Half of the current interval between events, then one in which the engine does the pending prefill and that of this prompt, and
     // sends the first event.
-    return times.correction() * pace * (times.pass_ms(load.running) * 1.5 + load.unread_ms + times.read_ms(static_cast<double>(needs.prompt_tokens)) + queue);
+    return times.correction() * pace * (times.event_interval_ms(load.running) * 1.5 + load.pending_prefill_ms + times.prefill_ms(static_cast<double>(requirements.prompt_tokens)) + queue);
 }
 
-bool ServerTable::would_stall(Server const& server, ServerNeeds const& needs, Core::Time now) const
+bool ServerTable::would_exceed_max_event_gap(Server const& server, ServerRequirements const& requirements, Core::Time now) const
 {
-    auto const* model = engine_service(server.entry.service);
-    if (!model || !m_settings.bounds_pauses || needs.longest_pause.count() <= 0)
+    auto const* model = engine_service(server.record.service);
+    if (!model || !m_settings.enforces_max_event_gap || requirements.max_event_gap.count() <= 0)
         return false;
     auto const& times = model->times;
     auto const load = this->load(server, times, now);
     // If no other prefill is pending, the prompt is accepted in any case: its prefill alone may exceed every limit.
-    if (load.unread_ms <= 0)
+    if (load.pending_prefill_ms <= 0)
         return false;
-    auto const pause = times.pass_ms(load.running) + load.unread_ms + times.read_ms(static_cast<double>(needs.prompt_tokens));
-    return times.correction() * pause > static_cast<double>(needs.longest_pause.count());
+    auto const pause = times.event_interval_ms(load.running) + load.pending_prefill_ms + times.prefill_ms(static_cast<double>(requirements.prompt_tokens));
+    return times.correction() * pause > static_cast<double>(requirements.max_event_gap.count());
 }
 
-bool ServerTable::has_leftover(Server const& server, Core::Time now) const
+bool ServerTable::has_spare_slot(Server const& server, Core::Time now) const
 {
-    auto const* model = engine_service(server.entry.service);
+    auto const* model = engine_service(server.record.service);
     if (!model)
         return true;
-    if (load(server, model->times, now).unread_ms > m_settings.leftover_unread_ms)
+    if (load(server, model->times, now).pending_prefill_ms > m_settings.leftover_unread_ms)
         return false;
-    auto const free = room(server, now);
+    auto const free = free_slots(server, now);
     if (role(server) == EngineRole::Owner)
-        return free > m_settings.leftover_reserve + m_settings.allowed_queue;
+        return free > m_settings.leftover_reserve + m_settings.owner_queue_limit;
     // This entry doesn't know what the owner has sent there since the last report, so it requires half of the slots to be free.
-    return free > server.entry.slots / 2;
+    return free > server.record.slots / 2;
 }
 
-double ServerTable::role_ms(Server const& server) const
+double ServerTable::role_penalty_ms(Server const& server) const
 {
-    if (!engine_service(server.entry.service))
+    if (!engine_service(server.record.service))
         return 0;
     switch (role(server)) {
     case EngineRole::Owner:
         return 0;
     case EngineRole::Helper:
-        return helper_ms;
+        return helper_penalty_ms;
     case EngineRole::Other:
-        return other_ms;
+        return other_role_penalty_ms;
     }
     return 0;
 }
 
-double ServerTable::cost(Server const& server, ServerNeeds const& needs, Core::Time now)
+double ServerTable::cost(Server const& server, ServerRequirements const& requirements, Core::Time now)
 {
-    auto const failure = failure_cost_ms * server.failure_rate;
+    auto const failure_penalty = failure_penalty_ms * server.failure_rate;
     switch (m_settings.choice) {
     case Schema::ServerChoice::RandomPick:
         return static_cast<double>(m_random() % 1000);
@@ -446,12 +446,12 @@
     case Schema::ServerChoice::Predicted:
         break;
     }
-    auto const risk = needs.avoided.contains(server.entry.id) ? avoided_ms : 0;
-    auto const company = needs.wants_idle ? company_ms * static_cast<double>(others_in_flight(server, now) + static_cast<int64_t>(server.pending.size())) : 0;
-    return predicted_ms(server, needs, now) + distance_ms(server) + role_ms(server) + failure + risk + company;
+    auto const avoided_penalty = requirements.avoided.contains(server.record.id) ? avoided_penalty_ms : 0;
+    auto const requests_at_risk_penalty = requirements.prefers_idle_servers ? request_at_risk_penalty_ms * static_cast<double>(others_in_flight(server, now) + static_cast<int64_t>(server.pending.size())) : 0;
+    return predicted_ms(server, requirements, now) + distance_penalty_ms(server) + role_penalty_ms(server) + failure_penalty + avoided_penalty + requests_at_risk_penalty;
 }
 
-tl::expected<ServerChoice, NoServer> ServerTable::choose(ServerNeeds const& needs, Core::Time now)
+tl::expected<ServerChoice, NoServer> ServerTable::choose(ServerRequirements const& requirements, Core::Time now)
 {
     Server const* best = nullptr;
     double best_cost = 0;
@@ -459,21 +459,21 @@
     bool saw_full = false;
     bool saw_slow = false;
     for (auto const& [id, server] : m_servers) {
-        if (!server.is_in_reach || server.entry.service != needs.service || needs.excluded.contains(id))
+        if (!server.is_selectable || server.record.service != requirements.service || requirements.excluded.contains(id))
             continue;
-        if (!is_usable(server, needs, now))
+        if (!is_usable(server, requirements, now))
             continue;
-        bool const is_open = !needs.closed.contains(id) && has_room(server, now) && !would_stall(server, needs, now) && (!needs.takes_leftover || has_leftover(server, now));
+        bool const is_open = !requirements.temporarily_unavailable.contains(id) && has_free_slot_at(server, now) && !would_exceed_max_event_gap(server, requirements, now) && (!requirements.uses_only_spare_slots || has_spare_slot(server, now));
         if (!is_open) {
             saw_full = true;
             continue;
         }
-        bool const is_slow = needs.begins_within && predicted_ms(server, needs, now) > static_cast<double>(needs.begins_within->count());
+        bool const is_slow = requirements.max_time_to_first_event && predicted_ms(server, requirements, now) > static_cast<double>(requirements.max_time_to_first_event->count());
         if (is_slow) {
             saw_slow = true;
             continue;
         }
-        auto const own_cost = cost(server, needs, now);
+        auto const own_cost = cost(server, requirements, now);
         if (best && own_cost > best_cost)
             continue;
         bool const is_better = !best || own_cost < best_cost;
@@ -487,14 +487,14 @@
     if (!best)
         return tl::unexpected(saw_full ? NoServer::AllFull : saw_slow ? NoServer::NoneInTime
                                                                       : NoServer::NoneUsable);
-    return ServerChoice { best->entry.id, Core::Duration(static_cast<int64_t>(predicted_ms(*best, needs, now))) };
+    return ServerChoice { best->record.id, Core::Duration(static_cast<int64_t>(predicted_ms(*best, requirements, now))) };
 }
 
-bool ServerTable::has_place(std::string const& service, Core::Time now) const
+bool ServerTable::has_free_slot(std::string const& service, Core::Time now) const
 {
     return std::any_of(m_servers.begin(), m_servers.end(), [&](auto const& entry) {
         auto const& server = entry.second;
-        return server.is_in_reach && server.entry.service == service && has_room(server, now) && is_usable(server, ServerNeeds { .service = service }, now);
+        return server.is_selectable && server.record.service == service && has_free_slot_at(server, now) && is_usable(server, ServerRequirements { .service = service }, now);
     });
 }
 
@@ -517,7 +517,7 @@
     auto const pending = found->second.pending.find(request);
     if (pending == found->second.pending.end() || std::exchange(pending->second.has_first_event, true))
         return;
-    auto const service = m_engine_services.find(found->second.entry.service);
+    auto const service = m_engine_services.find(found->second.record.service);
     if (service == m_engine_services.end())
         return;
     auto const observed = now - pending->second.sent_at;
@@ -530,13 +530,13 @@
     if (found == m_servers.end())
         return;
     auto& server = found->second;
-    if (server.sent_before.erase(request) > 0 && !server.pending.contains(request))
+    if (server.sent_to_earlier_incarnations.erase(request) > 0 && !server.pending.contains(request))
         return;
     auto const pending = server.pending.extract(request);
-    note_outcome(server, pending ? std::optional(pending.mapped().sent_at) : std::nullopt, outcome, now);
+    record_outcome(server, pending ? std::optional(pending.mapped().sent_at) : std::nullopt, outcome, now);
 }
 
-void ServerTable::on_silent(std::string const& id, std::string const& request, Core::Time now)
+void ServerTable::on_no_response(std::string const& id, std::string const& request, Core::Time now)
 {
     auto const found = m_servers.find(id);
     if (found == m_servers.end())
@@ -546,12 +546,12 @@
     if (!pending)
         return;
     auto const suspended_until = found->second.suspended_until;
-    note_outcome(found->second, pending.mapped().sent_at, ServerOutcome::Unreachable, now);
+    record_outcome(found->second, pending.mapped().sent_at, ServerOutcome::Unreachable, now);
     if (found->second.suspended_until != suspended_until)
-        found->second.is_suspended_as_silent = true;
+        found->second.is_suspended_for_silence = true;
 }
 
-void ServerTable::note_outcome(Server& server, std::optional<Core::Time> sent_at, ServerOutcome outcome, Core::Time now)
+void ServerTable::record_outcome(Server& server, std::optional<Core::Time> sent_at, ServerOutcome outcome, Core::Time now)
 {
     // All connections open at one moment may stop delivering together while new ones work. That counts as one fault, whatever the number
     // of connections.
@@ -560,15 +560,15 @@
         return;
     bool const is_fault = outcome == ServerOutcome::Unreachable || outcome == ServerOutcome::Failure;
     if (is_fault || outcome == ServerOutcome::Success)
-        server.failure_rate = failure_memory * server.failure_rate + (1 - failure_memory) * (is_fault ? 1 : 0);
+        server.failure_rate = previous_failure_rate_weight * server.failure_rate + (1 - previous_failure_rate_weight) * (is_fault ? 1 : 0);
     if (outcome == ServerOutcome::Full)
-        server.full_until = now + full_wait;
+        server.full_until = now + full_suspension;
     if (outcome == ServerOutcome::Success) {
         server.faults_in_a_row = 0;
         server.misdirected_in_a_row = 0;
     }
     if (outcome == ServerOutcome::Misdirected && ++server.misdirected_in_a_row >= misdirections_to_suspend) {
-        server.is_suspended_as_silent = false;
+        server.is_suspended_for_silence = false;
         server.suspended_until = now + misdirected_suspension;
     }
     if (!is_fault)
@@ -580,14 +580,14 @@
     if (!suspends)
         return;
     auto const doublings = std::min<int64_t>(server.faults_in_a_row - 1, 4);
-    server.is_suspended_as_silent = false;
+    server.is_suspended_for_silence = false;
     server.suspended_until = now + std::min(longest_suspension, first_suspension * (int64_t { 1 } << doublings));
 }
 
 Schema::BackendServer const* ServerTable::find(std::string const& id) const
 {
     auto const found = m_servers.find(id);
-    return found == m_servers.end() ? nullptr : &found->second.entry;
+    return found == m_servers.end() ? nullptr : &found->second.record;
 }
 
 void ServerTable::on_heard(std::string const& id, Core::Time now)
@@ -595,24 +595,24 @@
     auto const found = m_servers.find(id);
     if (found == m_servers.end())
         return;
-    found->second.heard_at = now;
-    if (std::exchange(found->second.is_suspended_as_silent, false))
+    found->second.last_received_at = now;
+    if (std::exchange(found->second.is_suspended_for_silence, false))
         found->second.suspended_until = now;
 }
 
 bool ServerTable::is_answering(std::string const& id, Core::Time now) const
 {
     auto const found = m_servers.find(id);
-    return found != m_servers.end() && found->second.heard_at && now - *found->second.heard_at < answering_within;
+    return found != m_servers.end() && found->second.last_received_at && now - *found->second.last_received_at < answering_within;
 }
 
-bool ServerTable::is_doubtful(std::string const& id) const
+bool ServerTable::is_repeatedly_misdirected(std::string const& id) const
 {
     auto const found = m_servers.find(id);
     return found != m_servers.end() && found->second.misdirected_in_a_row >= misdirections_to_suspend;
 }
 
-bool ServerTable::is_switching(std::string const& id, Core::Time now) const
+bool ServerTable::is_executing_order(std::string const& id, Core::Time now) const
 {
     auto const found = m_servers.find(id);
     auto const* report = found == m_servers.end() ? nullptr : reported(found->second, now);
--- a/Libraries/LibRouting/ServerTable.h
+++ b/Libraries/LibRouting/ServerTable.h
@@ -3,7 +3,7 @@
 
 #include <LibCore/Time.h>
 #include <LibRouting/EngineOwners.h>
-#include <LibRouting/EngineTimes.h>
+#include <LibRouting/EngineTimingModel.h>
 #include <LibSchema/Generated.h>
 #include <map>
 #include <optional>
@@ -16,7 +16,7 @@
 namespace Routing {
 
 /// Criteria by which ServerTable::choose() selects the backend server for a request.
-struct ServerNeeds {
+struct ServerRequirements {
     std::string service;
     /// The oldest version of the model's weights that the engine may hold; std::nullopt if any completely loaded version will do.
     std::optional<int64_t> required_version {};
@@ -27,18 +27,18 @@
     /// Ids of servers that must not be chosen, as earlier attempts of the request went to their present incarnations.
     std::set<std::string> excluded {};
     /// Ids of servers that can't be chosen at the moment, and are treated as full.
-    std::set<std::string> closed {};
+    std::set<std::string> temporarily_unavailable {};
     /// Ids of servers that may terminate soon. They are chosen only if all others are worse by 250 ms or more.
     std::set<std::string> avoided {};
     /// Prefers servers with few requests in flight, as this request may terminate its server.
-    bool wants_idle { false };
+    bool prefers_idle_servers { false };
     /// Longest acceptable predicted time to the first event of the answer; std::nullopt if there is no limit.
-    std::optional<Core::Duration> begins_within {};
+    std::optional<Core::Duration> max_time_to_first_event {};
     /// Longest acceptable pause between two events of a stream of this service; 0 if there is no limit. The prefill of a new prompt
     /// pauses the streams that run at the same engine.
-    Core::Duration longest_pause { 0 };
+    Core::Duration max_event_gap { 0 };
     /// Whether to use only spare slots, which requests that can still be answered in time are unlikely to need.
-    bool takes_leftover { false };
+    bool uses_only_spare_slots { false };
 };
 
 /// Why ServerTable::choose() found no backend server.
@@ -81,17 +81,17 @@
     /// Region of each failure domain.
     std::map<std::string, std::string> regions;
     /// Number of requests that may queue inside a full engine that this entry owns (see EngineRole).
-    int64_t allowed_queue { 1 };
+    int64_t owner_queue_limit { 1 };
     /// Number of slots that entries other than the owner leave free at an engine.
-    int64_t reserve { 4 };
+    int64_t owner_reserve { 4 };
     /// Number of slots of an owned engine that requests which can't be answered in time any more leave free.
     int64_t leftover_reserve { 2 };
     /// Greatest pending prefill, in milliseconds, of an engine that such a late request is sent to.
     double leftover_unread_ms { 0 };
     /// Whether entries that don't own an engine divide the slots that its last report showed free among them.
-    bool shares_reported_room { true };
-    /// Whether to enforce ServerNeeds::longest_pause.
-    bool bounds_pauses { true };
+    bool shares_reported_slots { true };
+    /// Whether to enforce ServerRequirements::max_event_gap.
+    bool enforces_max_event_gap { true };
 };
 
 /// Keeps the state of the backend servers that an entry sends requests to directly, and chooses the server for each attempt.
@@ -119,7 +119,7 @@
     /// Restricts the choice to the engines with these IP addresses, which are said to be in reach. choose() skips all others before any
     /// further look-up, so that its cost grows with the number of engines in reach only. Until the first call, all engines are in reach;
     /// servers of plain services always are.
-    void set_reach(std::set<std::string> const& ips);
+    void set_selectable_engines(std::set<std::string> const& ips);
 
     /// Sets this entry's role for each engine, by server id, as engine_roles() returns it. An engine that the map lacks has the role
     /// Other. Until the first call no engine has an owner, and this entry uses all engines as if it owned them.
@@ -127,22 +127,22 @@
 
     /// Whether the role of this entry can ever allow it to send requests to the server. With the role Other it gets slots of an engine
     /// only if those beside the owner's reserve are enough for one per entry. False if the server is unknown.
-    bool is_of_use(std::string const& id) const;
+    bool may_use(std::string const& id) const;
 
     /// Stores the state that the agent at an IP address read from its engine. A report of an earlier incarnation than the last report's
     /// is ignored, unless the last report is more than 2.5 seconds old.
     void on_engine_state(std::string const& ip, Schema::EngineState const&, Core::Time now);
     /// Drops the agent's last report, after its link has closed.
-    void on_agent_gone(std::string const& ip);
+    void on_agent_disconnected(std::string const& ip);
 
     /// Chooses the server of the service with the lowest cost, which is the predicted time to the first event plus penalties for
     /// distance, role and failures (or what the setting `choice` says instead). Equal costs are decided at random.
-    tl::expected<ServerChoice, NoServer> choose(ServerNeeds const&, Core::Time now);
+    tl::expected<ServerChoice, NoServer> choose(ServerRequirements const&, Core::Time now);
 
     /// Whether any usable server of the service has a free slot for this entry, for a request without special criteria.
-    bool has_place(std::string const& service, Core::Time now) const;
+    bool has_free_slot(std::string const& service, Core::Time now) const;
 
-    /// A request was sent to the chosen server. It holds a slot there until on_ended() or on_silent().
+    /// A request was sent to the chosen server. It holds a slot there until on_ended() or on_no_response().
     void on_sent(std::string const& request, ServerChoice const&, int64_t prompt_tokens, Core::Time now);
     /// The first event of the request's answer arrived, so prefill of its prompt is done. Also corrects the service's timing model.
     void on_first_event(std::string const& id, std::string const& request, Core::Time now);
@@ -151,8 +151,8 @@
     void on_ended(std::string const& id, std::string const& request, ServerOutcome, Core::Time now);
     /// The server sends nothing for the request, which counts as Unreachable and frees its slot. The server may still answer it later.
     /// Until its suspension ends or on_heard() is called, the server is not chosen.
-    void on_silent(std::string const& id, std::string const& request, Core::Time now);
-    /// Bytes of an answer to any request arrived from the server. Ends a suspension that on_silent() caused.
+    void on_no_response(std::string const& id, std::string const& request, Core::Time now);
+    /// Bytes of an answer to any request arrived from the server. Ends a suspension that on_no_response() caused.
     void on_heard(std::string const& id, Core::Time now);
     /// Whether bytes arrived from the server within the last 600 ms. If so, a request that receives nothing there probably waits behind
     /// other requests.
@@ -170,21 +170,21 @@
     int64_t version_at(std::string const& ip, Core::Time now) const;
     /// Whether the engine's agent reports that the engine executes an order, such as loading a version, or is about to. Requests that
     /// such an engine aborts don't count as its fault.
-    bool is_switching(std::string const& id, Core::Time now) const;
+    bool is_executing_order(std::string const& id, Core::Time now) const;
     /// Whether at least two attempts in a row were Misdirected, so that the list entry of the server is probably out of date.
-    bool is_doubtful(std::string const& id) const;
+    bool is_repeatedly_misdirected(std::string const& id) const;
 
     /// Mean time between two slots that become free at one full server of the service.
-    Core::Duration turnover(std::string const& service) const;
+    Core::Duration server_slot_interval(std::string const& service) const;
     /// Mean time between two slots that become free at any of the engines that this entry owns, when they are full.
-    Core::Duration place_interval(std::string const& service, Core::Time now) const;
+    Core::Duration slot_interval(std::string const& service, Core::Time now) const;
     /// Least time to the first event for a prompt at an engine whose slots are in use and that has no other pending prefill; 0 for a plain
     /// service.
-    Core::Duration least_first_event(std::string const& service, int64_t prompt_tokens) const;
+    Core::Duration min_time_to_first_event(std::string const& service, int64_t prompt_tokens) const;
     /// Time that a request with a prompt and an answer of this size takes at a full engine; 0 for a plain service.
     Core::Duration service_time(std::string const& service, int64_t prompt_tokens, int64_t answer_tokens) const;
     /// Expected time until an engine that loads a version or is empty can serve; std::nullopt if there is no such engine in reach.
-    std::optional<Core::Duration> next_engine(std::string const& service, Core::Time now) const;
+    std::optional<Core::Duration> time_until_next_engine(std::string const& service, Core::Time now) const;
 
 private:
     /// A request that this entry has in flight at a server.
@@ -198,7 +198,7 @@
     /// A service whose backend servers are engines.
     struct EngineService {
         Schema::EngineTiming timing;
-        EngineTimes times;
+        EngineTimingModel times;
         /// Layers of the model; 0 if unknown.
         int64_t layers { 0 };
     };
@@ -214,21 +214,21 @@
     };
 
     struct Server {
-        Schema::BackendServer entry;
+        Schema::BackendServer record;
         std::string ip;
-        // See set_reach().
-        bool is_in_reach { true };
+        // See set_selectable_engines().
+        bool is_selectable { true };
         int64_t listed_version { 0 };
         /// Start of the latest incarnation that was listed or reported, and when this entry first learned of it.
         std::optional<int64_t> started_at_ms;
-        Core::Time known_since { 0 };
+        Core::Time started_at_known_since { 0 };
         std::map<std::string, Pending> pending;
         // Requests that were sent to earlier incarnations and have not ended. Their outcomes say nothing about the present one.
-        std::set<std::string> sent_before;
-        std::optional<Core::Time> heard_at;
+        std::set<std::string> sent_to_earlier_incarnations;
+        std::optional<Core::Time> last_received_at;
         Core::Time suspended_until { 0 };
         /// Whether the only reason of the suspension is that the server stopped sending. The next bytes from it end the suspension.
-        bool is_suspended_as_silent { false };
+        bool is_suspended_for_silence { false };
         /// When the server last became unreachable.
         std::optional<Core::Time> unreachable_at;
         Core::Time full_until { 0 };
@@ -241,48 +241,48 @@
     struct Load {
         double running { 0 };
         /// Number of requests that must end before a further one gets a slot.
-        double ahead { 0 };
+        double queued_ahead { 0 };
         /// Pending prefill, in milliseconds: that of prompts whose first event has not arrived.
-        double unread_ms { 0 };
+        double pending_prefill_ms { 0 };
     };
 
     /// Records the start of an incarnation. If it is later than the known start, drops the state of the previous incarnation.
-    static void note_start(Server&, std::optional<int64_t> started_at_ms, Core::Time now);
-    static void begin_incarnation(Server&);
+    static void record_start(Server&, std::optional<int64_t> started_at_ms, Core::Time now);
+    static void reset_for_new_incarnation(Server&);
     /// Updates the server's failures and suspension by the outcome of an attempt.
     /// @param sent_at when the request was sent; std::nullopt if unknown.
-    static void note_outcome(Server&, std::optional<Core::Time> sent_at, ServerOutcome, Core::Time now);
+    static void record_outcome(Server&, std::optional<Core::Time> sent_at, ServerOutcome, Core::Time now);
     /// Returns the last report of the server's agent; null if it is more than 2.5 seconds old, or of an earlier incarnation.
     Reported const* reported(Server const&, Core::Time now) const;
     /// Whether a report is outdated, as it is of an earlier incarnation than the latest one known.
-    static bool is_overtaken(Server const&, Reported const&);
+    static bool is_outdated_report(Server const&, Reported const&);
     /// Returns null for a plain service.
     EngineService const* engine_service(std::string const& service) const;
     int64_t version_of(Server const&, Core::Time now) const;
-    bool is_usable(Server const&, ServerNeeds const&, Core::Time now) const;
+    bool is_usable(Server const&, ServerRequirements const&, Core::Time now) const;
     /// Requests of other entries that the last report showed at an engine; 0 without a report.
     int64_t others_in_flight(Server const&, Core::Time now) const;
     /// Number of slots that are free for this entry; may be negative.
-    int64_t room(Server const&, Core::Time now) const;
+    int64_t free_slots(Server const&, Core::Time now) const;
     /// Whether this entry has used up its share of the slots that the last report showed free at an engine that it doesn't own.
-    bool has_taken_its_part(Server const&, Core::Time now) const;
+    bool has_used_its_share(Server const&, Core::Time now) const;
     /// Number of entries among which the slots are divided that a report showed free.
-    int64_t sharers(EngineRole) const;
-    bool has_room(Server const&, Core::Time now) const;
-    Load load(Server const&, EngineTimes const&, Core::Time now) const;
-    /// Whether prefill of this request's prompt would pause the streams that run there for longer than ServerNeeds::longest_pause.
-    bool would_stall(Server const&, ServerNeeds const&, Core::Time now) const;
-    /// Whether the server has a spare slot, see ServerNeeds::takes_leftover.
-    bool has_leftover(Server const&, Core::Time now) const;
+    int64_t sharing_entry_count(EngineRole) const;
+    bool has_free_slot_at(Server const&, Core::Time now) const;
+    Load load(Server const&, EngineTimingModel const&, Core::Time now) const;
+    /// Whether prefill of this request's prompt would pause the streams that run there for longer than ServerRequirements::max_event_gap.
+    bool would_exceed_max_event_gap(Server const&, ServerRequirements const&, Core::Time now) const;
+    /// Whether the server has a spare slot, see ServerRequirements::uses_only_spare_slots.
+    bool has_spare_slot(Server const&, Core::Time now) const;
     /// Predicted time to the first event, or to the answer of a plain service, in milliseconds.
-    double predicted_ms(Server const&, ServerNeeds const&, Core::Time now) const;
+    double predicted_ms(Server const&, ServerRequirements const&, Core::Time now) const;
     /// Added to the cost for the distance between this entry and the server, in milliseconds.
-    double distance_ms(Server const&) const;
+    double distance_penalty_ms(Server const&) const;
     EngineRole role(Server const&) const;
     /// Added to the cost of an engine that this entry doesn't own, in milliseconds.
-    double role_ms(Server const&) const;
+    double role_penalty_ms(Server const&) const;
     /// The server with the lowest cost is chosen. In milliseconds, if the setting `choice` is Predicted.
-    double cost(Server const&, ServerNeeds const&, Core::Time now);
+    double cost(Server const&, ServerRequirements const&, Core::Time now);
 
     ServerTableSettings m_settings;
     std::mt19937_64 m_random;
--- a/Libraries/LibRouting/PlaceWait.h
+++ b/Libraries/LibRouting/SlotWait.h
@@ -17,22 +17,22 @@
 
 /// Requests of one service that wait at an entry for a free slot at a backend server. A request is late if its answer can't begin
 /// within the service's objective any more (see AnswerTerms::in_time_until).
-struct ServiceLine {
-    explicit ServiceLine(size_t limit)
+struct ServiceQueue {
+    explicit ServiceQueue(size_t limit)
         : queue(limit)
     {
     }
 
     RequestQueue queue;
     /// Measures how often late requests get a slot.
-    LeftoverPace leftover;
+    LeftoverPace late_slot_interval;
     /// Number of late requests in the queue.
-    size_t late { 0 };
+    size_t late_count { 0 };
 };
 
 /// Upper limit of the time after which a refused caller is asked to retry. Also used where the entry can't estimate when a slot
 /// becomes free.
-inline constexpr Core::Duration longest_retry_after { 1500 };
+inline constexpr Core::Duration max_retry_after { 1500 };
 
 /// Settings for requests that wait for a slot.
 struct WaitingPolicy {
@@ -60,14 +60,14 @@
 
 /// The wait of one request at an entry for a free slot at a backend server. Determines the request's order in the queue, when
 /// waiting has become pointless, and after which time a refused caller should retry.
-class PlaceWait {
+class SlotWait {
 public:
-    /// The table and what `line` refers to must outlive this object.
-    /// @param line returns the queue of a service.
-    PlaceWait(ServerTable const&, WaitingPolicy const&, std::function<ServiceLine&(std::string const& service)> line);
+    /// The table and what `service_queue` refers to must outlive this object.
+    /// @param service_queue returns the queue of a service.
+    SlotWait(ServerTable const&, WaitingPolicy const&, std::function<ServiceQueue&(std::string const& service)> service_queue);
 
-    /// Call when no slot was found for a request, before join() or is_hopeless(). Determines whether the request is late; this stays
-    /// fixed for the rest of the wait.
+    /// Call when no slot was found for a request, before join() or should_refuse(). Determines whether the request is late; this
+    /// stays fixed until the next call.
     void begin(WaitingRequest const&, Core::Time now);
     /// Adds the request to its service's queue.
     /// @return false if the queue is full, or the request is expected to end after its deadline.
@@ -79,11 +79,11 @@
 
     /// Whether a request that was not late at begin() can no longer be answered in time: not even the least time to a first event fits.
     /// Always false for a resumed stream.
-    bool becomes_late(WaitingRequest const&, Core::Time now) const;
+    bool has_become_late(WaitingRequest const&, Core::Time now) const;
     /// Whether the request should be refused, as no slot is expected to become free early enough to answer it before its deadline. A
     /// resumed stream is hopeless once its caller has received nothing for 2 seconds.
     /// @param reason why ServerTable::choose() found no backend server.
-    bool is_hopeless(WaitingRequest const&, NoServer reason, Core::Time now) const;
+    bool should_refuse(WaitingRequest const&, NoServer reason, Core::Time now) const;
     /// Time after which a refused caller should retry: the expected time until all waiting requests have got a slot, multiplied by a
     /// random factor from 1 to 2 so that callers refused together don't return together, and clamped to 200 to 1500 milliseconds.
     Core::Duration retry_after(std::string const& service, Core::Time now, std::mt19937_64& random) const;
@@ -98,9 +98,9 @@
 
     ServerTable const& m_servers;
     WaitingPolicy m_policy;
-    std::function<ServiceLine&(std::string const&)> m_line_of;
+    std::function<ServiceQueue&(std::string const&)> m_queue_of;
     // Null while the request is not in a queue.
-    ServiceLine* m_line { nullptr };
+    ServiceQueue* m_queue { nullptr };
     uint64_t m_number { 0 };
     bool m_is_late { false };
 };
--- a/Services/DirectEntry/DirectEntry.cpp
+++ b/Services/DirectEntry/DirectEntry.cpp
@@ -46,8 +46,8 @@
     auto const policy = settings.policy.value_or(Schema::RoutingPolicy {});
     result.leftover_reserve = policy.leftover_reserve.value_or(result.leftover_reserve);
     result.leftover_unread_ms = policy.leftover_unread_ms.value_or(result.leftover_unread_ms);
-    result.shares_reported_room = policy.share_reported_room.value_or(result.shares_reported_room);
-    result.bounds_pauses = policy.bound_pauses.value_or(result.bounds_pauses);
+    result.shares_reported_slots = policy.share_reported_room.value_or(result.shares_reported_slots);
+    result.enforces_max_event_gap = policy.bound_pauses.value_or(result.enforces_max_event_gap);
     return result;
 }
 
@@ -111,7 +111,7 @@
         .required_version = [this](std::string const& service) { return m_goals.required(service, version_bound(), Core::monotonic_now()); },
         .newest_version = [this](std::string const& service) { return m_goals.newest(service); },
         .returning = m_returning,
-        .line = [this](std::string const& service) -> Routing::ServiceLine& { return m_lines.try_emplace(service, queue_limit).first->second; },
+        .line = [this](std::string const& service) -> Routing::ServiceQueue& { return m_lines.try_emplace(service, queue_limit).first->second; },
         .asked = [this](std::string const& service) { m_sharing.on_asked(service); },
         .list_doubted = [this] { m_facts.on_servers_doubted(); },
         .over = [this](uint64_t number) { m_loop.soon([this, number] { m_requests.erase(number); }); } }
@@ -221,7 +221,7 @@
     m_told_use.erase(identity);
     // One whose link was only found silent is perhaps there, and its last word is good until it is old.
     if (m_silent_peers.erase(identity) == 0)
-        m_servers.on_agent_gone(identity);
+        m_servers.on_agent_disconnected(identity);
     if (m_weights) {
         m_weights->on_peer_down(identity);
         m_weights->update_sources();
@@ -379,7 +379,7 @@
     std::map<std::string, bool> uses;
     for (auto const* server : m_facts.replica().servers()) {
         auto& is_used = uses[Transport::split_address(server->address).first];
-        is_used = is_used || m_servers.is_of_use(server->id);
+        is_used = is_used || m_servers.may_use(server->id);
     }
     for (auto const& [ip, is_used] : uses) {
         if (!m_followed.contains(ip) || !m_hub->is_up(ip))
@@ -412,7 +412,7 @@
     auto const link_port = static_cast<uint16_t>(m_settings.link_port);
     if (m_context.routes) {
         m_followed.update(listed_engines(), m_sharing.entries(), m_used_engines, now);
-        m_servers.set_reach(m_followed.ips());
+        m_servers.set_selectable_engines(m_followed.ips());
         for (auto const& ip : m_followed.ips())
             wanted[ip] = { ip, link_port };
     }
@@ -585,7 +585,7 @@
     bool const is_due = ++m_offers % turns_by_offer_without_place == 0;
     auto const now = Core::monotonic_now();
     for (auto& [service, line] : m_lines) {
-        if (line.queue.size() == 0 || (!is_due && !m_servers.has_place(service, now)))
+        if (line.queue.size() == 0 || (!is_due && !m_servers.has_free_slot(service, now)))
             continue;
         line.queue.offer([this](uint64_t number) {
             auto const found = m_requests.find(number);
--- a/Services/DirectEntry/DirectEntry.h
+++ b/Services/DirectEntry/DirectEntry.h
@@ -124,7 +124,7 @@
     std::unique_ptr<EntryWeights> m_weights;
     Routing::ReturningCallers m_returning;
     RequestContext m_context;
-    std::map<std::string, Routing::ServiceLine> m_lines;
+    std::map<std::string, Routing::ServiceQueue> m_lines;
     std::map<uint64_t, std::shared_ptr<ProxiedRequest>> m_requests;
     uint64_t m_next_request { 1 };
     int m_offers { 0 };
--- a/Services/DirectEntry/ProxiedRequest.cpp
+++ b/Services/DirectEntry/ProxiedRequest.cpp
@@ -10,7 +10,7 @@
 
 namespace DirectEntry {
 
-using Routing::longest_retry_after;
+using Routing::max_retry_after;
 using Routing::NextStep;
 using Routing::SendEnd;
 using Routing::ServerOutcome;
@@ -89,7 +89,7 @@
 {
     auto const& routes = m_context.routes;
     if (!routes) {
-        refuse(status_unavailable, Refusal::NoConfiguration, longest_retry_after);
+        refuse(status_unavailable, Refusal::NoConfiguration, max_retry_after);
         return false;
     }
     m_configuration_version = routes->version();
@@ -129,7 +129,7 @@
         return;
     case Routing::RouteDenial::UnreadableCustomer:
     case Routing::RouteDenial::BlockedRoute:
-        refuse(status_unavailable, Refusal::UnreadableConfiguration, longest_retry_after);
+        refuse(status_unavailable, Refusal::UnreadableConfiguration, max_retry_after);
         return;
     }
 }
@@ -160,7 +160,7 @@
     m_phase = Phase::Waiting;
     auto const request = waiting();
     m_wait.begin(request, now);
-    if (m_silent.empty() && m_wait.is_hopeless(request, m_no_server, now)) {
+    if (m_silent.empty() && m_wait.should_refuse(request, m_no_server, now)) {
         refuse_waiting(now);
         return;
     }
@@ -173,26 +173,26 @@
 void ProxiedRequest::check_waiting(Core::Time now)
 {
     auto const request = waiting();
-    if (m_wait.becomes_late(request, now)) {
+    if (m_wait.has_become_late(request, now)) {
         m_wait.leave();
         m_terms.in_time_until = now - Core::Duration(1);
         wait_for_place();
         return;
     }
     // While an answer may still come, waiting for a better one is never in vain.
-    if (m_silent.empty() && m_wait.is_hopeless(request, m_no_server, now))
+    if (m_silent.empty() && m_wait.should_refuse(request, m_no_server, now))
         refuse_waiting(now);
 }
 
-Routing::ServerNeeds ProxiedRequest::needs()
+Routing::ServerRequirements ProxiedRequest::needs()
 {
-    Routing::ServerNeeds needs;
+    Routing::ServerRequirements needs;
     needs.service = m_service;
     needs.required_version = m_context.required_version(m_service);
     needs.newest_version = m_context.newest_version(m_service);
     needs.prompt_tokens = m_head.prompt_tokens;
     needs.excluded = tried_servers();
-    needs.longest_pause = Core::Duration(m_route.objective_gap_ms);
+    needs.max_event_gap = Core::Duration(m_route.objective_gap_ms);
     m_suspected.add_to(needs);
     return needs;
 }
@@ -230,7 +230,7 @@
 {
     auto needs = this->needs();
     if (!m_has_delivered)
-        needs.begins_within = m_terms.in_time_until - now;
+        needs.max_time_to_first_event = m_terms.in_time_until - now;
     auto const choice = m_context.servers.choose(needs, now);
     if (choice.has_value()) {
         send_to(*choice, now);
@@ -246,7 +246,7 @@
 bool ProxiedRequest::try_send_late(Core::Time now)
 {
     auto needs = this->needs();
-    needs.takes_leftover = m_context.waiting.orders_by_timeliness;
+    needs.uses_only_spare_slots = m_context.waiting.orders_by_timeliness;
     auto const choice = m_context.servers.choose(needs, now);
     if (!choice.has_value()) {
         m_no_server = choice.error();
@@ -496,7 +496,7 @@
         end_send(send, SendEnd::ServerEnded, ServerOutcome::Unreachable);
         return;
     }
-    end_send(send, SendEnd::BrokenOff, m_context.servers.is_switching(send.target().id, Core::monotonic_now()) ? ServerOutcome::Neutral : ServerOutcome::Failure);
+    end_send(send, SendEnd::BrokenOff, m_context.servers.is_executing_order(send.target().id, Core::monotonic_now()) ? ServerOutcome::Neutral : ServerOutcome::Failure);
 }
 
 // Sends whose servers are silent.
@@ -518,7 +518,7 @@
     m_context.metrics.count("mountbarrow_silent_sends_total");
     Core::log_event(Core::LogLevel::Info, "send_silent",
         { { "request", m_head.request_id }, { "server", m_send->target().id }, { "heard_ms_ago", milliseconds(now - m_send->heard_at()) }, { "ran_since_heard_ms", milliseconds(m_send->silent_for(m_context.running_time())) }, { "last_event", m_last_event ? std::to_string(*m_last_event) : "" } });
-    m_context.servers.on_silent(m_send->target().id, m_head.request_id, now);
+    m_context.servers.on_no_response(m_send->target().id, m_head.request_id, now);
     m_suspected.on_send_over();
     m_tried[m_send->target().id] = m_send->target().started_at_ms;
     m_may_have_run = true;
@@ -640,7 +640,7 @@
     auto const now = Core::monotonic_now();
     end_call();
     leave_server(outcome, now);
-    if (outcome == ServerOutcome::Misdirected && m_context.servers.is_doubtful(m_send->target().id))
+    if (outcome == ServerOutcome::Misdirected && m_context.servers.is_repeatedly_misdirected(m_send->target().id))
         m_context.list_doubted();
     // One that was only full may have room by the time that another is wanted.
     if (outcome != ServerOutcome::Full)
@@ -697,7 +697,7 @@
 
 void ProxiedRequest::refuse_not_run()
 {
-    refuse(status_unavailable, Refusal::NotRunAnywhere, m_server_retry_after.value_or(m_context.servers.turnover(m_service)));
+    refuse(status_unavailable, Refusal::NotRunAnywhere, m_server_retry_after.value_or(m_context.servers.server_slot_interval(m_service)));
 }
 
 void ProxiedRequest::send_again()
@@ -778,7 +778,7 @@
     }
     if (m_no_server == Routing::NoServer::NoneUsable) {
         // No place becomes free: engines have to come, or to be loaded.
-        refuse(status_unavailable, Refusal::NoServer, longest_retry_after);
+        refuse(status_unavailable, Refusal::NoServer, max_retry_after);
         return;
     }
     refuse(status_unavailable, Refusal::NoPlace, m_wait.retry_after(m_service, now, m_context.random));
--- a/Services/DirectEntry/ProxiedRequest.h
+++ b/Services/DirectEntry/ProxiedRequest.h
@@ -65,7 +65,7 @@
     void check_waiting(Core::Time now);
     void refuse_waiting(Core::Time now);
     bool is_outdated(ServerSend const&, Core::Time now) const;
-    Routing::ServerNeeds needs();
+    Routing::ServerRequirements needs();
     std::set<std::string> tried_servers() const;
     void send_to(Routing::ServerChoice const&, Core::Time now);
     void start_call(Platform::BackendTerms const&);
@@ -144,7 +144,7 @@
     // When the caller first asked, as far as is known.
     Core::Time m_first_asked { 0 };
     Routing::AnswerTerms m_terms;
-    Routing::PlaceWait m_wait;
+    Routing::SlotWait m_wait;
     // Why the last try found no backend server.
     Routing::NoServer m_no_server { Routing::NoServer::NoneUsable };
     std::optional<Core::Duration> m_first_event_after;
--- a/Services/DirectEntry/RequestContext.h
+++ b/Services/DirectEntry/RequestContext.h
@@ -6,11 +6,11 @@
 #include <LibCore/EventLoop.h>
 #include <LibCore/Metrics.h>
 #include <LibPlatform/RequestHeads.h>
-#include <LibRouting/PlaceWait.h>
 #include <LibRouting/RetryShare.h>
 #include <LibRouting/ReturningCallers.h>
 #include <LibRouting/RouteTable.h>
 #include <LibRouting/ServerTable.h>
+#include <LibRouting/SlotWait.h>
 #include <functional>
 #include <map>
 #include <memory>
@@ -44,7 +44,7 @@
     std::function<int64_t(std::string const& service)> newest_version;
     Routing::ReturningCallers& returning;
     /// Those that wait for a service.
-    std::function<Routing::ServiceLine&(std::string const& service)> line;
+    std::function<Routing::ServiceQueue&(std::string const& service)> line;
     /// A caller asked for something of the service.
     std::function<void(std::string const& service)> asked;
     /// A backend server was not what the list says, and not for the first time.
--- a/Services/DirectEntry/SuspectedRequest.cpp
+++ b/Services/DirectEntry/SuspectedRequest.cpp
@@ -31,7 +31,7 @@
     return !has_suspects() || m_watch.suspects().may_send(digest(), Core::monotonic_now());
 }
 
-void SuspectedRequest::add_to(Routing::ServerNeeds& needs)
+void SuspectedRequest::add_to(Routing::ServerRequirements& needs)
 {
     if (!has_suspects())
         return;
@@ -39,8 +39,8 @@
     auto const standing = this->standing();
     auto const among = standing == CrashStanding::RunsAlone ? Among::AllRuns : Among::LoneRuns;
     auto servers = m_watch.suspects().servers_with_suspects(among, Core::monotonic_now());
-    (standing == CrashStanding::Clear ? needs.avoided : needs.closed) = std::move(servers);
-    needs.wants_idle = standing == CrashStanding::RunsAlone;
+    (standing == CrashStanding::Clear ? needs.avoided : needs.temporarily_unavailable) = std::move(servers);
+    needs.prefers_idle_servers = standing == CrashStanding::RunsAlone;
 }
 
 void SuspectedRequest::on_sent(std::string const& server)
--- a/Services/DirectEntry/SuspectedRequest.h
+++ b/Services/DirectEntry/SuspectedRequest.h
@@ -22,7 +22,7 @@
     /// Whether a copy may go out from this entry now.
     bool may_send();
     /// Tells apart where the request may go: with others like it, or by itself.
-    void add_to(Routing::ServerNeeds&);
+    void add_to(Routing::ServerRequirements&);
 
     void on_sent(std::string const& server);
     void on_send_over();
--- a/Services/Entry/CallerApi.cpp
+++ b/Services/Entry/CallerApi.cpp
@@ -221,7 +221,7 @@
     auto needs = context.request.needs;
     needs.excluded = context.flow.excluded();
     if (context.request.dispatch.key) {
-        needs.home = Membership::home_of(*context.request.dispatch.key, m_list.live_agents(needs.service));
+        needs.required_instance = Membership::home_of(*context.request.dispatch.key, m_list.live_agents(needs.service));
         needs.excluded.clear();
     }
     auto const now = Core::monotonic_now();
--- a/Services/Entry/CallerRequest.h
+++ b/Services/Entry/CallerRequest.h
@@ -17,7 +17,7 @@
 /// A caller's request, read and checked.
 struct CallerRequest {
     Schema::Dispatch dispatch;
-    Routing::RouteNeeds needs;
+    Routing::InstanceRequirements needs;
     Core::Duration deadline { 0 };
 };
 
--- a/Tests/LibRouting/TestEngineFollowers.cpp
+++ b/Tests/LibRouting/TestEngineFollowers.cpp
@@ -34,7 +34,7 @@
         return static_cast<size_t>(std::count_if(engines.begin(), engines.end(), [&](auto const& engine) { return follows_engine(entry, entries, engine, regions); }));
     }
 
-    Regions regions;
+    RegionByDomain regions;
     std::vector<SharingEntry> entries;
     std::vector<SharedEngine> engines;
 };
--- a/Tests/LibRouting/TestEngineTimes.cpp
+++ b/Tests/LibRouting/TestEngineTimingModel.cpp
@@ -1,10 +1,10 @@
 // SPDX-License-Identifier: BSD-2-Clause
-#include <LibRouting/EngineTimes.h>
+#include <LibRouting/EngineTimingModel.h>
 #include <gtest/gtest.h>
 
-using Routing::EngineTimes;
+using Routing::EngineTimingModel;
 
-static Schema::EngineTiming stated()
+static Schema::EngineTiming configured_timing()
 {
     Schema::EngineTiming timing {};
     timing.slots = 16;
@@ -19,28 +19,28 @@
     return timing;
 }
 
-TEST(EngineTimes, StatedRatesGiveTheTimes)
+TEST(EngineTimingModel, StatedRatesGiveTheTimes)
 {
-    EngineTimes const times(stated());
-    EXPECT_DOUBLE_EQ(times.read_ms(1000), 50 + 1);
+    EngineTimingModel const times(configured_timing());
+    EXPECT_DOUBLE_EQ(times.prefill_ms(1000), 50 + 1);
     EXPECT_DOUBLE_EQ(times.step_ms(16), 17);
-    EXPECT_DOUBLE_EQ(times.pass_ms(16), 85);
-    EXPECT_DOUBLE_EQ(times.full_service_ms(), 100 * 17 + 16 * 51);
+    EXPECT_DOUBLE_EQ(times.event_interval_ms(16), 85);
+    EXPECT_DOUBLE_EQ(times.usual_service_ms(), 100 * 17 + 16 * 51);
 }
 
-TEST(EngineTimes, StatedRatesAreNotCorrected)
+TEST(EngineTimingModel, StatedRatesAreNotCorrected)
 {
-    EngineTimes times(stated());
+    EngineTimingModel times(configured_timing());
     for (int i = 0; i < 100; ++i)
         times.on_first_event(100, 300);
     EXPECT_DOUBLE_EQ(times.correction(), 1);
 }
 
-TEST(EngineTimes, WithoutARateTheFirstEventsSeenCorrectThePrediction)
+TEST(EngineTimingModel, WithoutARateTheFirstEventsSeenCorrectThePrediction)
 {
-    auto timing = stated();
+    auto timing = configured_timing();
     timing.prompt_tokens_per_second.reset();
-    EngineTimes times(timing);
+    EngineTimingModel times(timing);
     for (int i = 0; i < 100; ++i)
         times.on_first_event(100 * times.correction(), 300);
     EXPECT_NEAR(times.correction(), 3, 0.01);
@@ -48,12 +48,12 @@
     EXPECT_LT(times.correction(), 4);
 }
 
-TEST(EngineTimes, AZeroRateIsNoRate)
+TEST(EngineTimingModel, AZeroRateIsNoRate)
 {
-    auto timing = stated();
+    auto timing = configured_timing();
     timing.prompt_tokens_per_second = 0;
     timing.slots = 0;
-    EngineTimes const times(timing);
-    EXPECT_GT(times.read_ms(1000), 0);
-    EXPECT_LT(times.turnover_ms(), 1e6);
+    EngineTimingModel const times(timing);
+    EXPECT_GT(times.prefill_ms(1000), 0);
+    EXPECT_LT(times.slot_interval_ms(), 1e6);
 }
--- a/Tests/LibRouting/TestInstanceTable.cpp
+++ b/Tests/LibRouting/TestInstanceTable.cpp
@@ -27,9 +27,9 @@
     return table;
 }
 
-static RouteNeeds needs(std::string const& prefix = {})
+static InstanceRequirements requirements(std::string const& prefix = {})
 {
-    RouteNeeds result;
+    InstanceRequirements result;
     result.service = "s";
     result.model = "m";
     result.prefix = prefix;
@@ -54,10 +54,10 @@
     for (int step = 0; step < 200; ++step) {
         auto const& id = ids[random() % ids.size()];
         auto& truth = truths[id];
-        auto tell = [&] {
-            auto said = report(static_cast<int64_t>(truth.own), 3, truth.version);
-            said.draining = truth.draining;
-            table.on_report(id, said);
+        auto send_report = [&] {
+            auto message = report(static_cast<int64_t>(truth.own), 3, truth.version);
+            message.draining = truth.draining;
+            table.on_report(id, message);
         };
         switch (random() % 7) {
         case 0:
@@ -68,7 +68,7 @@
             truth.linked = !truth.linked;
             if (truth.linked) {
                 table.on_link_up(id);
-                tell();
+                send_report();
             } else {
                 table.on_link_down(id);
             }
@@ -77,7 +77,7 @@
             truth.draining = random() % 4 == 0;
             truth.version = std::to_string(1 + random() % 2);
             if (truth.linked)
-                tell();
+                send_report();
             break;
         case 3:
             if (truth.own > 0) {
@@ -86,9 +86,9 @@
             }
             break;
         default: {
-            auto wanted = needs(random() % 2 == 0 ? "p" : "");
-            wanted.version = "1";
-            auto const chosen = table.choose(wanted, Core::Time(step));
+            auto request_requirements = requirements(random() % 2 == 0 ? "p" : "");
+            request_requirements.version = "1";
+            auto const chosen = table.choose(request_requirements, Core::Time(step));
             if (!chosen.has_value())
                 break;
             auto& picked = truths[*chosen];
@@ -107,7 +107,7 @@
     auto table = table_of({ "bad", "good" });
     size_t at_bad = 0;
     for (int64_t now = 0; now < 10000; now += 10) {
-        auto const chosen = table.choose(needs(), Core::Time(now));
+        auto const chosen = table.choose(requirements(), Core::Time(now));
         ASSERT_TRUE(chosen.has_value());
         table.on_started(*chosen);
         at_bad += *chosen == "bad" ? 1 : 0;
@@ -122,41 +122,41 @@
     auto warm = report(0, 8);
     warm.warm_prefixes = { "p" };
     table.on_report("b", warm);
-    EXPECT_EQ(*table.choose(needs("p"), Core::Time(0)), "b");
+    EXPECT_EQ(*table.choose(requirements("p"), Core::Time(0)), "b");
     for (int i = 0; i < 6; ++i)
         table.on_started("b");
-    EXPECT_NE(*table.choose(needs("p"), Core::Time(0)), "b");
+    EXPECT_NE(*table.choose(requirements("p"), Core::Time(0)), "b");
 }
 
 TEST(InstanceTable, AllFullIsBusyAndNoneAtAllIsNone)
 {
     auto table = table_of({ "a" }, {}, 1);
     table.on_started("a");
-    EXPECT_EQ(table.choose(needs(), Core::Time(0)).error(), Schema::Reason::InstanceBusy);
+    EXPECT_EQ(table.choose(requirements(), Core::Time(0)).error(), Schema::Reason::InstanceBusy);
     table.on_link_down("a");
-    EXPECT_EQ(table.choose(needs(), Core::Time(0)).error(), Schema::Reason::NoInstance);
+    EXPECT_EQ(table.choose(requirements(), Core::Time(0)).error(), Schema::Reason::NoInstance);
 }
 
 TEST(InstanceTable, WhatOthersSentAWhileAgoLeavesNoFreeSlotUnused)
 {
     auto table = table_of({ "a" }, {}, 2);
     table.on_report("a", report(2, 2));
-    EXPECT_TRUE(table.choose(needs(), Core::Time(0)).has_value());
+    EXPECT_TRUE(table.choose(requirements(), Core::Time(0)).has_value());
     table.on_started("a");
     table.on_refused("a", Schema::Reason::InstanceBusy);
-    EXPECT_EQ(table.choose(needs(), Core::Time(0)).error(), Schema::Reason::InstanceBusy);
+    EXPECT_EQ(table.choose(requirements(), Core::Time(0)).error(), Schema::Reason::InstanceBusy);
     // A request of this entry ended there, so a slot is free.
     table.on_finished("a", InstanceOutcome::Success, Core::Time(0));
-    EXPECT_TRUE(table.choose(needs(), Core::Time(0)).has_value());
+    EXPECT_TRUE(table.choose(requirements(), Core::Time(0)).has_value());
 }
 
 TEST(InstanceTable, ARefusalCountsUntilTheNextReport)
 {
     auto table = table_of({ "a" });
     table.on_refused("a", Schema::Reason::InstanceBusy);
-    EXPECT_EQ(table.choose(needs(), Core::Time(0)).error(), Schema::Reason::InstanceBusy);
+    EXPECT_EQ(table.choose(requirements(), Core::Time(0)).error(), Schema::Reason::InstanceBusy);
     table.on_report("a", report(0, 8));
-    EXPECT_TRUE(table.choose(needs(), Core::Time(0)).has_value());
+    EXPECT_TRUE(table.choose(requirements(), Core::Time(0)).has_value());
     table.on_refused("a", Schema::Reason::Draining);
-    EXPECT_FALSE(table.choose(needs(), Core::Time(0)).has_value());
+    EXPECT_FALSE(table.choose(requirements(), Core::Time(0)).has_value());
 }
--- a/Tests/LibRouting/TestServerTable.cpp
+++ b/Tests/LibRouting/TestServerTable.cpp
@@ -155,23 +155,23 @@
 TEST_F(ServerTableTest, AnEngineThatHasYetToReachTheNewestVersionIsUsedOnlyOnItsAgentsWord)
 {
     m_table.set_server(engine("1", "a", 1), m_now);
-    ServerNeeds needs { .service = "llm", .required_version = {}, .newest_version = 1, .prompt_tokens = 900, .excluded = {} };
-    EXPECT_TRUE(m_table.choose(needs, m_now).has_value());
-    needs.newest_version = 2;
-    EXPECT_FALSE(m_table.choose(needs, m_now).has_value());
+    ServerRequirements requirements { .service = "llm", .required_version = {}, .newest_version = 1, .prompt_tokens = 900, .excluded = {} };
+    EXPECT_TRUE(m_table.choose(requirements, m_now).has_value());
+    requirements.newest_version = 2;
+    EXPECT_FALSE(m_table.choose(requirements, m_now).has_value());
 
     Schema::EngineState state {};
     state.version = 1;
     state.pace = 1;
     m_table.on_engine_state("10.0.0.1", state, m_now);
-    EXPECT_TRUE(m_table.choose(needs, m_now).has_value());
+    EXPECT_TRUE(m_table.choose(requirements, m_now).has_value());
 
     // The agent froze together with its engine: the list entry alone is no reason to send requests there.
     m_now += Core::Duration(5000);
-    EXPECT_FALSE(m_table.choose(needs, m_now).has_value());
+    EXPECT_FALSE(m_table.choose(requirements, m_now).has_value());
 
     m_table.set_server(engine("1", "a", 2), m_now);
-    EXPECT_TRUE(m_table.choose(needs, m_now).has_value());
+    EXPECT_TRUE(m_table.choose(requirements, m_now).has_value());
 }
 
 TEST_F(ServerTableTest, ItsOwnEnginesGoBeforeThoseItHelpsAndTheseBeforeOthersUntilTheyAreTheSlower)
@@ -204,13 +204,13 @@
     refuse();
     // A single misdirected attempt may be due to a version that has just changed.
     EXPECT_TRUE(choose().has_value());
-    EXPECT_FALSE(m_table.is_doubtful("1"));
+    EXPECT_FALSE(m_table.is_repeatedly_misdirected("1"));
     refuse();
     EXPECT_FALSE(choose().has_value());
-    EXPECT_TRUE(m_table.is_doubtful("1"));
+    EXPECT_TRUE(m_table.is_repeatedly_misdirected("1"));
     m_table.on_sent("r", { .id = "1" }, 900, m_now);
     m_table.on_ended("1", "r", ServerOutcome::Success, m_now);
-    EXPECT_FALSE(m_table.is_doubtful("1"));
+    EXPECT_FALSE(m_table.is_repeatedly_misdirected("1"));
 }
 
 TEST_F(ServerTableTest, AServerIsAnsweringWhileItsLastBytesAreRecent)
@@ -240,9 +240,9 @@
     auto stray = engine("1", "a");
     stray.service = "unread";
     m_table.set_server(stray, m_now);
-    ServerNeeds needs;
-    needs.service = "unread";
-    EXPECT_FALSE(m_table.choose(needs, m_now).has_value());
+    ServerRequirements requirements;
+    requirements.service = "unread";
+    EXPECT_FALSE(m_table.choose(requirements, m_now).has_value());
 }
 
 TEST_F(ServerTableTest, WhatMustBeginSoonIsNotSentWhereItWouldBeginLate)
@@ -250,31 +250,31 @@
     m_table.set_server(engine("1", "a"), m_now);
     for (auto const* request : { "r1", "r2", "r3" })
         m_table.on_sent(request, { .id = "1" }, 3000, m_now);
-    ServerNeeds needs;
-    needs.service = "llm";
-    needs.prompt_tokens = 900;
-    auto const whenever = m_table.choose(needs, m_now);
+    ServerRequirements requirements;
+    requirements.service = "llm";
+    requirements.prompt_tokens = 900;
+    auto const whenever = m_table.choose(requirements, m_now);
     ASSERT_TRUE(whenever.has_value());
-    needs.begins_within = whenever->predicted - Core::Duration(1);
-    EXPECT_EQ(m_table.choose(needs, m_now).error(), NoServer::NoneInTime);
-    needs.begins_within = whenever->predicted + Core::Duration(1);
-    EXPECT_TRUE(m_table.choose(needs, m_now).has_value());
+    requirements.max_time_to_first_event = whenever->predicted - Core::Duration(1);
+    EXPECT_EQ(m_table.choose(requirements, m_now).error(), NoServer::NoneInTime);
+    requirements.max_time_to_first_event = whenever->predicted + Core::Duration(1);
+    EXPECT_TRUE(m_table.choose(requirements, m_now).has_value());
 }
 
 TEST_F(ServerTableTest, APromptThatWouldMakeRunningStreamsPauseTooLongWaits)
 {
     m_table.set_server(engine("1", "a"), m_now);
-    ServerNeeds needs;
-    needs.service = "llm";
-    needs.prompt_tokens = 3000;
+    ServerRequirements requirements;
+    requirements.service = "llm";
+    requirements.prompt_tokens = 3000;
     // Without other pending prefill, a prompt of any length is accepted.
-    needs.longest_pause = Core::Duration(100);
-    EXPECT_TRUE(m_table.choose(needs, m_now).has_value());
+    requirements.max_event_gap = Core::Duration(100);
+    EXPECT_TRUE(m_table.choose(requirements, m_now).has_value());
     m_table.on_sent("r1", { .id = "1" }, 3000, m_now);
-    needs.longest_pause = Core::Duration(300);
-    EXPECT_EQ(m_table.choose(needs, m_now).error(), NoServer::AllFull);
+    requirements.max_event_gap = Core::Duration(300);
+    EXPECT_EQ(m_table.choose(requirements, m_now).error(), NoServer::AllFull);
     m_table.on_first_event("1", "r1", m_now);
-    EXPECT_TRUE(m_table.choose(needs, m_now).has_value());
+    EXPECT_TRUE(m_table.choose(requirements, m_now).has_value());
 }
 
 TEST_F(ServerTableTest, WhatIsLateAlreadyTakesOnlyPlacesThatOthersAreNotLikelyToNeed)
@@ -282,9 +282,9 @@
     auto spacious = engine("1", "a");
     spacious.slots = 6;
     m_table.set_server(spacious, m_now);
-    ServerNeeds late;
+    ServerRequirements late;
     late.service = "llm";
-    late.takes_leftover = true;
+    late.uses_only_spare_slots = true;
     EXPECT_TRUE(m_table.choose(late, m_now).has_value());
     // Pending prefill of another prompt goes first.
     m_table.on_sent("r1", { .id = "1" }, 900, m_now);
@@ -332,19 +332,19 @@
 TEST_F(ServerTableTest, AnEngineThatLoadsOrIsEmptyIsExpectedSoon)
 {
     m_table.set_server(engine("1", "a", 0), m_now);
-    EXPECT_EQ(m_table.next_engine("llm", m_now), std::nullopt);
+    EXPECT_EQ(m_table.time_until_next_engine("llm", m_now), std::nullopt);
     Schema::EngineState state {};
     m_table.on_engine_state("10.0.0.1", state, m_now);
-    auto const empty = m_table.next_engine("llm", m_now);
+    auto const empty = m_table.time_until_next_engine("llm", m_now);
     state.is_busy = true;
     m_table.on_engine_state("10.0.0.1", state, m_now);
-    auto const loading = m_table.next_engine("llm", m_now);
+    auto const loading = m_table.time_until_next_engine("llm", m_now);
     ASSERT_TRUE(empty.has_value() && loading.has_value());
     EXPECT_LT(*loading, *empty);
     state.is_busy = false;
     state.version = 1;
     m_table.on_engine_state("10.0.0.1", state, m_now);
-    EXPECT_EQ(m_table.next_engine("llm", m_now), std::nullopt);
+    EXPECT_EQ(m_table.time_until_next_engine("llm", m_now), std::nullopt);
 }
 
 TEST_F(ServerTableTest, ConnectionsThatFellSilentTogetherCountAsOneFault)
@@ -381,13 +381,13 @@
     ASSERT_TRUE(choice.has_value());
     m_table.on_sent("r1", *choice, 900, m_now);
     m_now += Core::Duration(1000);
-    m_table.on_silent("1", "r1", m_now);
+    m_table.on_no_response("1", "r1", m_now);
     EXPECT_FALSE(choose().has_value());
     m_now += Core::Duration(20);
     m_table.on_heard("1", m_now);
     EXPECT_TRUE(choose().has_value());
     // A second report that the same request gets no answer counts as the same fault.
-    m_table.on_silent("1", "r1", m_now);
+    m_table.on_no_response("1", "r1", m_now);
     EXPECT_TRUE(choose().has_value());
     m_table.on_ended("1", "r1", ServerOutcome::Success, m_now);
 }
@@ -401,7 +401,7 @@
     ASSERT_GT(sent, 1u);
     m_now += Core::Duration(1000);
     for (size_t i = 0; i < sent; ++i)
-        m_table.on_silent("1", "r" + std::to_string(i), m_now);
+        m_table.on_no_response("1", "r" + std::to_string(i), m_now);
     m_now += Core::Duration(400);
     for (size_t i = 0; i < sent; ++i) {
         auto const choice = choose();
@@ -419,7 +419,7 @@
         m_table.on_sent(request, *choice, 900, m_now);
     }
     m_now += Core::Duration(1000);
-    m_table.on_silent("1", "r1", m_now);
+    m_table.on_no_response("1", "r1", m_now);
     m_now += Core::Duration(500);
     auto const again = choose();
     ASSERT_TRUE(again.has_value());
@@ -440,27 +440,27 @@
     plain.address = "10.0.0.9:80";
     plain.slots = 1;
     m_table.set_server(plain, m_now);
-    m_table.set_reach({ "10.0.0.2" });
+    m_table.set_selectable_engines({ "10.0.0.2" });
     EXPECT_EQ(choose().value().id, "2");
     EXPECT_EQ(choose({}, { "2" }).error(), NoServer::NoneUsable);
     EXPECT_EQ(m_table.choose({ .service = "plain" }, m_now).value().id, "p");
-    m_table.set_reach({ "10.0.0.1", "10.0.0.2" });
+    m_table.set_selectable_engines({ "10.0.0.1", "10.0.0.2" });
     EXPECT_EQ(choose({}, { "2" }).value().id, "1");
 }
 
 TEST_F(ServerTableTest, AServiceHasAPlaceAsLongAsOneCanBeChosen)
 {
-    EXPECT_FALSE(m_table.has_place("llm", m_now));
+    EXPECT_FALSE(m_table.has_free_slot("llm", m_now));
     m_table.set_server(engine("1", "a"), m_now);
-    EXPECT_TRUE(m_table.has_place("llm", m_now));
-    EXPECT_FALSE(m_table.has_place("plain", m_now));
+    EXPECT_TRUE(m_table.has_free_slot("llm", m_now));
+    EXPECT_FALSE(m_table.has_free_slot("plain", m_now));
     int sent = 0;
     for (auto choice = choose(); choice.has_value(); choice = choose())
         m_table.on_sent("r" + std::to_string(++sent), *choice, 900, m_now);
     EXPECT_GT(sent, 0);
-    EXPECT_FALSE(m_table.has_place("llm", m_now));
+    EXPECT_FALSE(m_table.has_free_slot("llm", m_now));
     m_table.on_ended("1", "r1", ServerOutcome::Success, m_now);
-    EXPECT_TRUE(m_table.has_place("llm", m_now));
+    EXPECT_TRUE(m_table.has_free_slot("llm", m_now));
 }
 
 // An entry that is neither owner nor helper of an engine needs no updates of its load, once the slots beside the owner's reserve are
@@ -469,15 +469,15 @@
 {
     m_table.set_server(engine("1", "a"), m_now);
     m_table.set_entries(20);
-    EXPECT_TRUE(m_table.is_of_use("1"));
+    EXPECT_TRUE(m_table.may_use("1"));
     m_table.set_roles({});
-    EXPECT_FALSE(m_table.is_of_use("1"));
+    EXPECT_FALSE(m_table.may_use("1"));
     m_table.set_roles({ { "1", EngineRole::Owner } });
-    EXPECT_TRUE(m_table.is_of_use("1"));
-    EXPECT_FALSE(m_table.is_of_use("unknown"));
+    EXPECT_TRUE(m_table.may_use("1"));
+    EXPECT_FALSE(m_table.may_use("unknown"));
 }
 
-static Schema::BackendServer born(int64_t started_at_ms, Schema::BackendServer server)
+static Schema::BackendServer started_at(int64_t started_at_ms, Schema::BackendServer server)
 {
     server.started_at_ms = started_at_ms;
     return server;
@@ -495,12 +495,12 @@
 
 TEST_F(ServerTableTest, AServerThatStartedAgainHasNoneOfItsPredecessorsFaults)
 {
-    m_table.set_server(born(1000, engine("1", "a")), m_now);
+    m_table.set_server(started_at(1000, engine("1", "a")), m_now);
     m_table.on_sent("r1", { .id = "1" }, 900, m_now);
     m_table.on_sent("r2", { .id = "1" }, 900, m_now);
     m_table.on_ended("1", "r1", ServerOutcome::Unreachable, m_now);
     EXPECT_FALSE(choose().has_value());
-    m_table.set_server(born(2000, engine("1", "a")), m_now);
+    m_table.set_server(started_at(2000, engine("1", "a")), m_now);
     EXPECT_TRUE(choose().has_value());
     // An attempt at the previous incarnation ends now, which says nothing about the present one.
     m_table.on_ended("1", "r2", ServerOutcome::Unreachable, m_now);
@@ -509,10 +509,10 @@
 
 TEST_F(ServerTableTest, TheSameIncarnationListedAgainKeepsItsFaults)
 {
-    m_table.set_server(born(1000, engine("1", "a")), m_now);
+    m_table.set_server(started_at(1000, engine("1", "a")), m_now);
     m_table.on_sent("r1", { .id = "1" }, 900, m_now);
     m_table.on_ended("1", "r1", ServerOutcome::Unreachable, m_now);
-    m_table.set_server(born(1000, engine("1", "b")), m_now);
+    m_table.set_server(started_at(1000, engine("1", "b")), m_now);
     EXPECT_FALSE(choose().has_value());
     // A list entry without a start doesn't count as a new incarnation either.
     m_table.set_server(engine("1", "a"), m_now);
@@ -521,20 +521,20 @@
 
 TEST_F(ServerTableTest, WhatWasSentToThePredecessorTakesNoPlace)
 {
-    m_table.set_server(born(1000, engine("1", "a")), m_now);
+    m_table.set_server(started_at(1000, engine("1", "a")), m_now);
     for (int i = 0; i < 5; ++i)
         m_table.on_sent("r" + std::to_string(i), { .id = "1" }, 900, m_now);
     EXPECT_EQ(choose().error(), NoServer::AllFull);
-    m_table.set_server(born(2000, engine("1", "a")), m_now);
+    m_table.set_server(started_at(2000, engine("1", "a")), m_now);
     EXPECT_TRUE(choose().has_value());
 }
 
 TEST_F(ServerTableTest, AReportOfThePredecessorTellsNothingOfWhoIsListedNow)
 {
-    m_table.set_server(born(1000, engine("1", "a")), m_now);
+    m_table.set_server(started_at(1000, engine("1", "a")), m_now);
     m_table.on_engine_state("10.0.0.1", state_of(1000, 3), m_now);
     EXPECT_EQ(m_table.version_of("1", m_now), 3);
-    m_table.set_server(born(2000, engine("1", "a", 0)), m_now);
+    m_table.set_server(started_at(2000, engine("1", "a", 0)), m_now);
     EXPECT_EQ(m_table.version_of("1", m_now), 0);
     m_table.on_engine_state("10.0.0.1", state_of(2000, 2), m_now);
     EXPECT_EQ(m_table.version_of("1", m_now), 2);
@@ -545,25 +545,25 @@
 
 TEST_F(ServerTableTest, AReportOfASuccessorEndsWhatIsKnownAndListedOfThePredecessor)
 {
-    m_table.set_server(born(1000, engine("1", "a", 3)), m_now);
+    m_table.set_server(started_at(1000, engine("1", "a", 3)), m_now);
     m_table.on_sent("r1", { .id = "1" }, 900, m_now);
     m_table.on_ended("1", "r1", ServerOutcome::Unreachable, m_now);
     m_table.on_engine_state("10.0.0.1", state_of(2000, 3), m_now);
     EXPECT_TRUE(choose(3).has_value());
     // Without the agent's report there is only the list entry, which is of the previous incarnation.
-    m_table.on_agent_gone("10.0.0.1");
+    m_table.on_agent_disconnected("10.0.0.1");
     EXPECT_EQ(m_table.version_of("1", m_now), 0);
     EXPECT_FALSE(choose().has_value());
     // A heartbeat of the previous incarnation doesn't replace the latest one.
-    m_table.set_server(born(1000, engine("1", "b", 3)), m_now);
+    m_table.set_server(started_at(1000, engine("1", "b", 3)), m_now);
     EXPECT_EQ(m_table.version_of("1", m_now), 0);
-    m_table.set_server(born(2000, engine("1", "a", 2)), m_now);
+    m_table.set_server(started_at(2000, engine("1", "a", 2)), m_now);
     EXPECT_EQ(m_table.version_of("1", m_now), 2);
 }
 
 TEST_F(ServerTableTest, AnAgentThatGoesOnTellingOfAnEarlierStartIsBelievedInTheEnd)
 {
-    m_table.set_server(born(2000, engine("1", "a", 3)), m_now);
+    m_table.set_server(started_at(2000, engine("1", "a", 3)), m_now);
     m_table.on_engine_state("10.0.0.1", state_of(2000, 3), m_now);
     // The clock of the instance was set back between the two starts.
     for (int i = 0; i < 10; ++i) {
@@ -575,7 +575,7 @@
 
 TEST_F(ServerTableTest, WhatTheListSaysOfALeavingPredecessorKeepsNobodyFromItsSuccessor)
 {
-    auto leaving = born(1000, engine("1", "a"));
+    auto leaving = started_at(1000, engine("1", "a"));
     leaving.is_draining = true;
     m_table.set_server(leaving, m_now);
     m_table.on_engine_state("10.0.0.1", state_of(1000, 1), m_now);
@@ -594,17 +594,17 @@
 {
     m_table.set_server(engine("1", "a"), m_now);
     m_table.set_server(engine("2", "b"), m_now);
-    ServerNeeds needs { .service = "llm" };
-    needs.prompt_tokens = 900;
-    EXPECT_EQ(m_table.choose(needs, m_now)->id, "1");
-    needs.avoided = { "1" };
-    EXPECT_EQ(m_table.choose(needs, m_now)->id, "2");
-    needs.avoided = { "1", "2" };
-    EXPECT_EQ(m_table.choose(needs, m_now)->id, "1") << "an avoided server is better than none";
-    needs.closed = { "1" };
-    EXPECT_EQ(m_table.choose(needs, m_now)->id, "2");
-    needs.closed = { "1", "2" };
-    EXPECT_EQ(m_table.choose(needs, m_now).error(), NoServer::AllFull) << "closed servers count as full, as they are usable again soon";
+    ServerRequirements requirements { .service = "llm" };
+    requirements.prompt_tokens = 900;
+    EXPECT_EQ(m_table.choose(requirements, m_now)->id, "1");
+    requirements.avoided = { "1" };
+    EXPECT_EQ(m_table.choose(requirements, m_now)->id, "2");
+    requirements.avoided = { "1", "2" };
+    EXPECT_EQ(m_table.choose(requirements, m_now)->id, "1") << "an avoided server is better than none";
+    requirements.temporarily_unavailable = { "1" };
+    EXPECT_EQ(m_table.choose(requirements, m_now)->id, "2");
+    requirements.temporarily_unavailable = { "1", "2" };
+    EXPECT_EQ(m_table.choose(requirements, m_now).error(), NoServer::AllFull) << "closed servers count as full, as they are usable again soon";
 }
 
 TEST_F(ServerTableTest, WhatMayEndItsServerGoesWhereTheFewestRun)
@@ -613,9 +613,9 @@
     m_table.set_server(engine("2", "b"), m_now);
     m_table.on_sent("r", { "1" }, 100, m_now);
     m_table.on_first_event("1", "r", m_now);
-    ServerNeeds needs { .service = "llm" };
-    needs.prompt_tokens = 900;
-    EXPECT_EQ(m_table.choose(needs, m_now)->id, "1");
-    needs.wants_idle = true;
-    EXPECT_EQ(m_table.choose(needs, m_now)->id, "2");
+    ServerRequirements requirements { .service = "llm" };
+    requirements.prompt_tokens = 900;
+    EXPECT_EQ(m_table.choose(requirements, m_now)->id, "1");
+    requirements.prefers_idle_servers = true;
+    EXPECT_EQ(m_table.choose(requirements, m_now)->id, "2");
 }
--- a/Tests/LibRouting/TestPlaceWait.cpp
+++ b/Tests/LibRouting/TestSlotWait.cpp
@@ -1,5 +1,5 @@
 // SPDX-License-Identifier: BSD-2-Clause
-#include <LibRouting/PlaceWait.h>
+#include <LibRouting/SlotWait.h>
 #include <gtest/gtest.h>
 
 using namespace Routing;
@@ -9,9 +9,9 @@
 namespace {
 
 /// One engine with four slots, whose answers take about a second, and the queue of its service.
-class PlaceWaitTest : public testing::Test {
+class SlotWaitTest : public testing::Test {
 protected:
-    PlaceWaitTest()
+    SlotWaitTest()
         : m_servers({ .failure_domain = "a", .region = "ra", .regions = { { "a", "ra" } } }, 1)
     {
         Schema::EngineTiming timing {};
@@ -43,9 +43,9 @@
         m_servers.on_engine_state("10.0.0.1", state, m_now);
     }
 
-    PlaceWait wait()
+    SlotWait wait()
     {
-        return { m_servers, m_policy, [this](std::string const&) -> ServiceLine& { return m_line; } };
+        return { m_servers, m_policy, [this](std::string const&) -> ServiceQueue& { return m_queue; } };
     }
 
     /// A request that arrives now, from a caller whose first try was `asked_before` ago.
@@ -62,31 +62,31 @@
 
     ServerTable m_servers;
     WaitingPolicy m_policy;
-    ServiceLine m_line { 4 };
+    ServiceQueue m_queue { 4 };
     Time m_now { 10000 };
 };
 
 }
 
 // No engine holds the required version, and none is about to load it.
-TEST_F(PlaceWaitTest, WhereNoEngineIsAboutToServeARequestIsHopelessAtOnce)
+TEST_F(SlotWaitTest, WhereNoEngineIsAboutToServeARequestIsHopelessAtOnce)
 {
     auto wait = this->wait();
-    EXPECT_TRUE(wait.is_hopeless(request(1), NoServer::NoneUsable, m_now));
+    EXPECT_TRUE(wait.should_refuse(request(1), NoServer::NoneUsable, m_now));
 }
 
 // After a power loss, engines are up but empty, with a copy of the weights on their instances.
-TEST_F(PlaceWaitTest, WhereAnEngineIsAboutToLoadARequestWaitsForIt)
+TEST_F(SlotWaitTest, WhereAnEngineIsAboutToLoadARequestWaitsForIt)
 {
     add_engine(0);
     auto wait = this->wait();
-    EXPECT_FALSE(wait.is_hopeless(request(1), NoServer::NoneUsable, m_now));
+    EXPECT_FALSE(wait.should_refuse(request(1), NoServer::NoneUsable, m_now));
     auto const impatient = request(2, Duration(5000));
-    EXPECT_TRUE(wait.is_hopeless(impatient, NoServer::NoneUsable, m_now)) << "the caller gives up before the answer ends";
+    EXPECT_TRUE(wait.should_refuse(impatient, NoServer::NoneUsable, m_now)) << "the caller gives up before the answer ends";
 }
 
 // More requests arrive than the engines can serve, among them those of callers that were refused and retry.
-TEST_F(PlaceWaitTest, CallersThatAreLateAlreadyStandBehindThoseThatCanBeInTime)
+TEST_F(SlotWaitTest, CallersThatAreLateAlreadyStandBehindThoseThatCanBeInTime)
 {
     add_engine(1);
     auto late = wait();
@@ -97,49 +97,49 @@
     fresh.begin(request(2), m_now);
     ASSERT_TRUE(fresh.join(request(2), m_now));
     std::vector<uint64_t> offered;
-    m_line.queue.offer([&](uint64_t number) {
+    m_queue.queue.offer([&](uint64_t number) {
         offered.push_back(number);
         return false;
     });
     EXPECT_EQ(offered, (std::vector<uint64_t> { 2, 1 }));
-    EXPECT_EQ(m_line.late, 1u);
+    EXPECT_EQ(m_queue.late_count, 1u);
     late.leave();
-    EXPECT_EQ(m_line.late, 0u);
+    EXPECT_EQ(m_queue.late_count, 0u);
 }
 
-TEST_F(PlaceWaitTest, ALateCallerIsRefusedOnceThePlacesLeftForItComeTooSeldom)
+TEST_F(SlotWaitTest, ALateCallerIsRefusedOnceThePlacesLeftForItComeTooSeldom)
 {
     add_engine(1);
     auto wait = this->wait();
     auto const returned = request(1, Duration(700));
     wait.begin(returned, m_now);
     ASSERT_TRUE(wait.join(returned, m_now));
-    EXPECT_FALSE(wait.is_hopeless(returned, NoServer::AllFull, m_now));
-    EXPECT_TRUE(wait.is_hopeless(returned, NoServer::AllFull, m_now + Duration(3000)));
+    EXPECT_FALSE(wait.should_refuse(returned, NoServer::AllFull, m_now));
+    EXPECT_TRUE(wait.should_refuse(returned, NoServer::AllFull, m_now + Duration(3000)));
 }
 
-TEST_F(PlaceWaitTest, ACallerThatWaitsToBeInTimeIsLateOnceTheFirstEventCannotComeInTime)
+TEST_F(SlotWaitTest, ACallerThatWaitsToBeInTimeIsLateOnceTheFirstEventCannotComeInTime)
 {
     add_engine(1);
     auto wait = this->wait();
     auto const fresh = request(1);
     wait.begin(fresh, m_now);
     ASSERT_TRUE(wait.join(fresh, m_now));
-    EXPECT_FALSE(wait.becomes_late(fresh, m_now));
-    EXPECT_TRUE(wait.becomes_late(fresh, m_now + Duration(390)));
+    EXPECT_FALSE(wait.has_become_late(fresh, m_now));
+    EXPECT_TRUE(wait.has_become_late(fresh, m_now + Duration(390)));
 }
 
-TEST_F(PlaceWaitTest, AFullLineTakesNoMore)
+TEST_F(SlotWaitTest, AFullLineTakesNoMore)
 {
     add_engine(1);
-    std::vector<PlaceWait> waits(5, wait());
+    std::vector<SlotWait> waits(5, wait());
     for (uint64_t number = 0; number < 5; ++number) {
         waits[number].begin(request(number), m_now);
         EXPECT_EQ(waits[number].join(request(number), m_now), number < 4) << number;
     }
 }
 
-TEST_F(PlaceWaitTest, CallersThatAreRefusedTogetherComeBackApart)
+TEST_F(SlotWaitTest, CallersThatAreRefusedTogetherComeBackApart)
 {
     add_engine(1);
     auto const wait = this->wait();
--- a/Tests/Platform/TestFieldFaults.cpp
+++ b/Tests/Platform/TestFieldFaults.cpp
@@ -1,6 +1,6 @@
 // SPDX-License-Identifier: BSD-2-Clause
 #include "../../platform/Records.h"
-#include <LibRouting/EngineTimes.h>
+#include <LibRouting/EngineTimingModel.h>
 #include <LibRouting/RouteTable.h>
 #include <LibSchema/Json.h>
 #include <functional>
@@ -198,7 +198,7 @@
         EXPECT_EQ(way(*read, "a.example", "/s/1"), "/s/ engines") << fault.path;
         EXPECT_FALSE(read->unreadable_fields.empty()) << fault.path << " " << fault.what;
         ASSERT_TRUE(read->services[0].timing.has_value());
-        EXPECT_GT(Routing::EngineTimes(*read->services[0].timing).full_service_ms(), 0) << fault.path << " " << fault.what;
+        EXPECT_GT(Routing::EngineTimingModel(*read->services[0].timing).usual_service_ms(), 0) << fault.path << " " << fault.what;
     }
 }
 
--- a/Tests/Platform/TestForeignRecords.cpp
+++ b/Tests/Platform/TestForeignRecords.cpp
@@ -134,7 +134,7 @@
     Routing::ServerTable table({ .failure_domain = "z", .region = "r", .regions = { { "z", "r" } } }, 1);
     table.set_timing(engines, timing());
     table.set_server(server, Core::Time(0));
-    table.set_reach({ server.address.substr(0, server.address.rfind(':')) });
+    table.set_selectable_engines({ server.address.substr(0, server.address.rfind(':')) });
     return table.choose({ .service = service, .required_version = 1 }, Core::Time(0)).has_value();
 }
 
