--- a/Libraries/LibRouting/EngineOwners.h
+++ b/Libraries/LibRouting/EngineOwners.h
@@ -28,7 +28,7 @@
     Owner,
     /// Uses only spare slots of the engine, and prefers them to those of engines for which its role is Other.
     Helper,
-    /// Uses only spare slots of the engine, and only as a last resort.
+    /// Uses only spare slots of the engine, and only if owned and helped engines are much slower.
     Other,
 };
 
--- a/Libraries/LibRouting/EngineTimingModel.h
+++ b/Libraries/LibRouting/EngineTimingModel.h
@@ -23,7 +23,7 @@
     /// Time of one decoding step, which generates one token for each of the `running` requests.
     double step_ms(double running) const;
     /// Time between two events of an answer's stream: an event carries the tokens of several decoding steps.
-    double event_interval_ms(double running) const { return m_steps_per_event * step_ms(running); }
+    double stream_event_interval_ms(double running) const { return m_steps_per_event * step_ms(running); }
     /// Time that a request with a prompt and an answer of the usual size takes at a full engine. Includes the time in which the engine
     /// reads the prompts of other requests.
     double usual_service_ms() const;
--- a/Libraries/LibRouting/InstanceTable.h
+++ b/Libraries/LibRouting/InstanceTable.h
@@ -59,7 +59,7 @@
 public:
     InstanceTable(InstanceTableSettings, uint64_t seed);
 
-    /// Adds an instance, or updates its list entry and keeps everything else that is known of it.
+    /// Adds an instance, or updates its list record and keeps everything else that is known of it.
     void set_listed(std::string const& id, std::string const& service, bool is_leaving);
     void remove(std::string const& id);
     /// After a link comes up, the instance is not used until its agent reports.
--- a/Libraries/LibRouting/ServerTable.cpp
+++ b/Libraries/LibRouting/ServerTable.cpp
@@ -48,7 +48,7 @@
     return started_at_ms && known && *started_at_ms < *known;
 }
 
-/// Whether the server's latest incarnation is leaving. A list entry of an earlier incarnation says nothing about the latest one.
+/// Whether the server's latest incarnation is leaving. A list record of an earlier incarnation says nothing about the latest one.
 static bool is_leaving(Schema::BackendServer const& record, std::optional<int64_t> latest_start)
 {
     return record.is_draining && !is_earlier_start(record.started_at_ms, latest_start);
@@ -330,7 +330,7 @@
     if (!model)
         return Core::Duration(0);
     auto const& times = model->times;
-    return Core::Duration(static_cast<int64_t>(times.correction() * (times.event_interval_ms(times.slots()) + times.prefill_ms(static_cast<double>(prompt_tokens)))));
+    return Core::Duration(static_cast<int64_t>(times.correction() * (times.stream_event_interval_ms(times.slots()) + times.prefill_ms(static_cast<double>(prompt_tokens)))));
 }
 
 Core::Duration ServerTable::service_time(std::string const& service, int64_t prompt_tokens, int64_t answer_tokens) const
@@ -389,7 +389,7 @@
     auto const pace = report ? std::max(1.0, report->state.pace) : 1.0;
     // Half of the current interval between events, then one in which the engine does the pending prefill and that of this prompt, and
     // sends the first event.
-    return times.correction() * pace * (times.event_interval_ms(load.running) * 1.5 + load.pending_prefill_ms + times.prefill_ms(static_cast<double>(requirements.prompt_tokens)) + queue);
+    return times.correction() * pace * (times.stream_event_interval_ms(load.running) * 1.5 + load.pending_prefill_ms + times.prefill_ms(static_cast<double>(requirements.prompt_tokens)) + queue);
 }
 
 bool ServerTable::would_exceed_max_event_gap(Server const& server, ServerRequirements const& requirements, Core::Time now) const
@@ -402,7 +402,7 @@
     // If no other prefill is pending, the prompt is accepted in any case: its prefill alone may exceed every limit.
     if (load.pending_prefill_ms <= 0)
         return false;
-    auto const pause = times.event_interval_ms(load.running) + load.pending_prefill_ms + times.prefill_ms(static_cast<double>(requirements.prompt_tokens));
+    auto const pause = times.stream_event_interval_ms(load.running) + load.pending_prefill_ms + times.prefill_ms(static_cast<double>(requirements.prompt_tokens));
     return times.correction() * pause > static_cast<double>(requirements.max_event_gap.count());
 }
 
--- a/Libraries/LibRouting/ServerTable.h
+++ b/Libraries/LibRouting/ServerTable.h
@@ -28,7 +28,8 @@
     std::set<std::string> excluded {};
     /// Ids of servers that can't be chosen at the moment, and are treated as full.
     std::set<std::string> temporarily_unavailable {};
-    /// Ids of servers that may terminate soon. They are chosen only if all others are worse by 250 ms or more.
+    /// Ids of servers that may terminate soon. Their predicted time to the first event counts as 250 ms longer, so that others are
+    /// preferred.
     std::set<std::string> avoided {};
     /// Prefers servers with few requests in flight, as this request may terminate its server.
     bool prefers_idle_servers { false };
@@ -107,18 +108,18 @@
 public:
     ServerTable(ServerTableSettings, uint64_t seed);
 
-    /// Adds a server or updates its list entry. All other state is kept, unless the list entry shows a later start: then the state of
+    /// Adds a server or updates its list record. All other state is kept, unless the list record shows a later start: then the state of
     /// the previous incarnation is dropped.
     void set_server(Schema::BackendServer const&, Core::Time now);
     void remove_server(std::string const& id);
-    /// Makes the service one of engines, with this timing model. Observed times are kept unless the configured timing changes.
+    /// Marks the backend servers of a service as engines, and sets their timing model. Observed times are kept unless the configured timing changes.
     void set_timing(std::string const& service, Schema::EngineTiming const&);
     /// Sets the number of entries that share the servers, including this one.
     void set_entries(size_t count) { m_entries = std::max<size_t>(1, count); }
 
-    /// Restricts the choice to the engines with these IP addresses, which are said to be in reach. choose() skips all others before any
-    /// further look-up, so that its cost grows with the number of engines in reach only. Until the first call, all engines are in reach;
-    /// servers of plain services always are.
+    /// Restricts the choice to the engines with these IP addresses. choose() skips all others before any further look-up, so that its
+    /// cost grows with the number of selectable engines only. Servers of plain services are always selectable, and so are engines that
+    /// are added after the last call.
     void set_selectable_engines(std::set<std::string> const& ips);
 
     /// Sets this entry's role for each engine, by server id, as engine_roles() returns it. An engine that the map lacks has the role
@@ -162,7 +163,7 @@
     /// std::nullopt if unknown.
     std::optional<int64_t> started_at_ms(std::string const& id) const;
 
-    /// Returns the server's list entry, or null if the server is unknown.
+    /// Returns the server's list record, or null if the server is unknown.
     Schema::BackendServer const* find(std::string const& id) const;
     /// Version of its service's model that the server holds completely, as its agent reports or else as listed; 0 if there is none.
     int64_t version_of(std::string const& id, Core::Time now) const;
@@ -171,7 +172,7 @@
     /// Whether the engine's agent reports that the engine executes an order, such as loading a version, or is about to. Requests that
     /// such an engine aborts don't count as its fault.
     bool is_executing_order(std::string const& id, Core::Time now) const;
-    /// Whether at least two attempts in a row were Misdirected, so that the list entry of the server is probably out of date.
+    /// Whether at least two attempts in a row were Misdirected, so that the list record of the server is probably out of date.
     bool is_repeatedly_misdirected(std::string const& id) const;
 
     /// Mean time between two slots that become free at one full server of the service.
@@ -183,7 +184,7 @@
     Core::Duration min_time_to_first_event(std::string const& service, int64_t prompt_tokens) const;
     /// Time that a request with a prompt and an answer of this size takes at a full engine; 0 for a plain service.
     Core::Duration service_time(std::string const& service, int64_t prompt_tokens, int64_t answer_tokens) const;
-    /// Expected time until an engine that loads a version or is empty can serve; std::nullopt if there is no such engine in reach.
+    /// Expected time until an engine that loads a version or is empty can serve; std::nullopt if there is no such selectable engine.
     std::optional<Core::Duration> time_until_next_engine(std::string const& service, Core::Time now) const;
 
 private:
--- a/Tests/LibRouting/TestEngineFollowers.cpp
+++ b/Tests/LibRouting/TestEngineFollowers.cpp
@@ -50,7 +50,7 @@
 
 // In a full mesh the number of links grows with entries times engines, and so do the messages of all agents. With some 70 entries and
 // 200 engines, links took half of the processor time of all instances.
-TEST(EngineFollowers, AnAgentsLinksStayTheSameHoweverManyEntriesThereAre)
+TEST(EngineFollowers, NumberOfLinksPerAgentIsIndependentOfNumberOfEntries)
 {
     for (size_t const entries_by_region : { 6, 15, 70 }) {
         Fleet const fleet(5, entries_by_region, 40);
@@ -59,7 +59,7 @@
     }
 }
 
-TEST(EngineFollowers, AnEntrysLinksGrowWithEnginesByEntryOnly)
+TEST(EngineFollowers, NumberOfLinksPerEntryGrowsWithEnginesPerEntryOnly)
 {
     for (size_t const scale : { 1, 4 }) {
         Fleet const fleet(5, 10 * scale, 40 * scale);
@@ -71,7 +71,7 @@
     }
 }
 
-TEST(EngineFollowers, NearEntriesGoFirstAndSomeAreElsewhere)
+TEST(EngineFollowers, NearEntriesArePreferredAndSomeFollowersAreInOtherRegions)
 {
     Fleet const fleet(5, 10, 40);
     for (auto const& engine : fleet.engines) {
@@ -83,7 +83,7 @@
 }
 
 // If all entries of a region are lost, entries of other regions follow its engines, and no engine is left without followers.
-TEST(EngineFollowers, EnginesOfARegionWithoutEntriesAreFollowedFromElsewhere)
+TEST(EngineFollowers, EnginesOfARegionWithoutEntriesAreFollowedFromOtherRegions)
 {
     Fleet fleet(5, 10, 40);
     std::erase_if(fleet.entries, [](auto const& entry) { return entry.failure_domain == "domain-0"; });
@@ -91,7 +91,7 @@
         EXPECT_EQ(fleet.followers(engine).size(), followers_per_engine);
 }
 
-RC_GTEST_PROP(EngineFollowers, TheLossOfAnEntryMovesOnlyItsOwnLinks, ())
+RC_GTEST_PROP(EngineFollowers, LossOfAnEntryChangesOnlyItsOwnLinks, ())
 {
     Fleet fleet(*rc::gen::inRange<size_t>(1, 5), *rc::gen::inRange<size_t>(1, 12), 5);
     std::map<std::string, std::vector<std::string>> before;
@@ -110,7 +110,7 @@
     }
 }
 
-TEST(FollowedEngines, AnEntryThatHasJustStartedFollowsAFewNearOnes)
+TEST(FollowedEngines, AnEntryThatHasJustStartedFollowsAFewOfTheNearestEngines)
 {
     Fleet const fleet(5, 15, 40);
     auto const& self = fleet.entries.front();
@@ -125,7 +125,7 @@
         EXPECT_EQ(followed.contains(engine.id), follows_engine(self, fleet.entries, engine, fleet.regions));
 }
 
-TEST(FollowedEngines, AnEntryThatStaysAloneFollowsAll)
+TEST(FollowedEngines, AnEntryWithoutPeersFollowsAllEngines)
 {
     Fleet const fleet(5, 1, 40);
     auto const& self = fleet.entries.front();
@@ -135,7 +135,7 @@
     EXPECT_EQ(followed.ips().size(), fleet.engines.size());
 }
 
-TEST(FollowedEngines, AnEngineThatIsFilledFromFarAwayIsFollowedForAWhile)
+TEST(FollowedEngines, ADistantEngineThatIsUsedStaysFollowedForFiveSeconds)
 {
     Fleet const fleet(5, 30, 40);
     auto const& self = fleet.entries.front();
--- a/Tests/LibRouting/TestEngineOwners.cpp
+++ b/Tests/LibRouting/TestEngineOwners.cpp
@@ -27,7 +27,7 @@
     return engines;
 }
 
-RC_GTEST_PROP(EngineOwners, EveryEngineHasOneOwnerAndEachEntryAboutItsPart, ())
+RC_GTEST_PROP(EngineOwners, EveryEngineHasOneOwnerAndEachEntryOwnsAboutItsShare, ())
 {
     auto const entries = any_entries();
     auto const engines = any_engines();
@@ -43,7 +43,7 @@
     }
 }
 
-RC_GTEST_PROP(EngineOwners, TheOrderOfWhatIsKnownDoesNotMatter, ())
+RC_GTEST_PROP(EngineOwners, OrderOfEntriesAndEnginesDoesNotMatter, ())
 {
     auto entries = any_entries();
     auto engines = any_engines();
@@ -53,7 +53,7 @@
     RC_ASSERT(engine_owners(entries, engines) == owners);
 }
 
-TEST(EngineOwners, NearEnginesGoFirst)
+TEST(EngineOwners, EnginesOfTheSameDomainArePreferred)
 {
     auto const owners = engine_owners({ { "e1", "a", 10 }, { "e2", "b", 10 } }, { { "x", "b" }, { "y", "a" }, { "z", "b" }, { "w", "a" } });
     EXPECT_EQ(owners.at("x"), "e2");
@@ -62,7 +62,7 @@
     EXPECT_EQ(owners.at("w"), "e1");
 }
 
-TEST(EngineOwners, ADomainWithoutEnginesIsServedByOthers)
+TEST(EngineOwners, AnEntryWithoutEnginesInItsDomainOwnsOthers)
 {
     auto const owners = engine_owners({ { "e1", "a", 10 }, { "e2", "c", 10 } }, { { "x", "a" }, { "y", "a" } });
     EXPECT_NE(owners.at("x"), owners.at("y"));
@@ -84,7 +84,7 @@
         RC_ASSERT(helpers[engine.id] == std::min<size_t>(2, entries.size() - 1));
 }
 
-TEST(EngineOwners, NearEntriesHelpFirst)
+TEST(EngineOwners, EntriesOfTheSameDomainArePreferredAsHelpers)
 {
     std::vector<SharingEntry> const entries { { "e1", "a", 10 }, { "e2", "a", 10 }, { "e3", "a", 10 }, { "e4", "b", 10 } };
     EXPECT_FALSE(engine_roles("e4", entries, { { "x", "a" } }).contains("x"));
--- a/Tests/LibRouting/TestEngineTimingModel.cpp
+++ b/Tests/LibRouting/TestEngineTimingModel.cpp
@@ -19,16 +19,16 @@
     return timing;
 }
 
-TEST(EngineTimingModel, StatedRatesGiveTheTimes)
+TEST(EngineTimingModel, ConfiguredRatesDetermineTheTimes)
 {
     EngineTimingModel const times(configured_timing());
     EXPECT_DOUBLE_EQ(times.prefill_ms(1000), 50 + 1);
     EXPECT_DOUBLE_EQ(times.step_ms(16), 17);
-    EXPECT_DOUBLE_EQ(times.event_interval_ms(16), 85);
+    EXPECT_DOUBLE_EQ(times.stream_event_interval_ms(16), 85);
     EXPECT_DOUBLE_EQ(times.usual_service_ms(), 100 * 17 + 16 * 51);
 }
 
-TEST(EngineTimingModel, StatedRatesAreNotCorrected)
+TEST(EngineTimingModel, ConfiguredRatesAreNotCorrected)
 {
     EngineTimingModel times(configured_timing());
     for (int i = 0; i < 100; ++i)
@@ -36,7 +36,7 @@
     EXPECT_DOUBLE_EQ(times.correction(), 1);
 }
 
-TEST(EngineTimingModel, WithoutARateTheFirstEventsSeenCorrectThePrediction)
+TEST(EngineTimingModel, WithoutARateObservedFirstEventsCorrectThePrediction)
 {
     auto timing = configured_timing();
     timing.prompt_tokens_per_second.reset();
@@ -48,7 +48,7 @@
     EXPECT_LT(times.correction(), 4);
 }
 
-TEST(EngineTimingModel, AZeroRateIsNoRate)
+TEST(EngineTimingModel, AZeroRateIsTreatedAsMissing)
 {
     auto timing = configured_timing();
     timing.prompt_tokens_per_second = 0;
--- a/Tests/LibRouting/TestInstanceTable.cpp
+++ b/Tests/LibRouting/TestInstanceTable.cpp
@@ -41,32 +41,32 @@
     std::mt19937_64 random(seed);
     std::vector<std::string> const ids { "a", "b", "c", "d", "e" };
     auto table = table_of(ids);
-    struct Truth {
+    struct InstanceState {
         bool leaving { false };
         bool linked { true };
         bool draining { false };
         std::string version { "1" };
         size_t own { 0 };
     };
-    std::map<std::string, Truth> truths;
+    std::map<std::string, InstanceState> states;
     for (auto const& id : ids)
-        truths[id] = {};
+        states[id] = {};
     for (int step = 0; step < 200; ++step) {
         auto const& id = ids[random() % ids.size()];
-        auto& truth = truths[id];
+        auto& state = states[id];
         auto send_report = [&] {
-            auto message = report(static_cast<int64_t>(truth.own), 3, truth.version);
-            message.draining = truth.draining;
+            auto message = report(static_cast<int64_t>(state.own), 3, state.version);
+            message.draining = state.draining;
             table.on_report(id, message);
         };
         switch (random() % 7) {
         case 0:
-            truth.leaving = random() % 3 == 0;
-            table.set_listed(id, "s", truth.leaving);
+            state.leaving = random() % 3 == 0;
+            table.set_listed(id, "s", state.leaving);
             break;
         case 1:
-            truth.linked = !truth.linked;
-            if (truth.linked) {
+            state.linked = !state.linked;
+            if (state.linked) {
                 table.on_link_up(id);
                 send_report();
             } else {
@@ -74,14 +74,14 @@
             }
             break;
         case 2:
-            truth.draining = random() % 4 == 0;
-            truth.version = std::to_string(1 + random() % 2);
-            if (truth.linked)
+            state.draining = random() % 4 == 0;
+            state.version = std::to_string(1 + random() % 2);
+            if (state.linked)
                 send_report();
             break;
         case 3:
-            if (truth.own > 0) {
-                truth.own -= 1;
+            if (state.own > 0) {
+                state.own -= 1;
                 table.on_finished(id, random() % 3 == 0 ? InstanceOutcome::Failure : InstanceOutcome::Success, Core::Time(step));
             }
             break;
@@ -91,7 +91,7 @@
             auto const chosen = table.choose(request_requirements, Core::Time(step));
             if (!chosen.has_value())
                 break;
-            auto& picked = truths[*chosen];
+            auto& picked = states[*chosen];
             RC_ASSERT(!picked.leaving && picked.linked && !picked.draining);
             RC_ASSERT(picked.version == "1");
             RC_ASSERT(picked.own < 8u);
@@ -102,7 +102,7 @@
     }
 }
 
-TEST(InstanceTable, OneThatAnswersErrorsFastDrawsNoTraffic)
+TEST(InstanceTable, AnInstanceThatFailsFastAttractsNoTraffic)
 {
     auto table = table_of({ "bad", "good" });
     size_t at_bad = 0;
@@ -116,7 +116,7 @@
     EXPECT_LT(at_bad, 12u);
 }
 
-TEST(InstanceTable, APromptGoesWhereItsPrefixIsWarmUnlessThatIsOverloaded)
+TEST(InstanceTable, APromptGoesWhereItsPrefixIsCachedUnlessThatInstanceIsOverloaded)
 {
     auto table = table_of({ "a", "b", "c" });
     auto warm = report(0, 8);
@@ -128,7 +128,7 @@
     EXPECT_NE(*table.choose(requirements("p"), Core::Time(0)), "b");
 }
 
-TEST(InstanceTable, AllFullIsBusyAndNoneAtAllIsNone)
+TEST(InstanceTable, FullInstancesGiveInstanceBusyAndMissingOnesNoInstance)
 {
     auto table = table_of({ "a" }, {}, 1);
     table.on_started("a");
@@ -137,7 +137,7 @@
     EXPECT_EQ(table.choose(requirements(), Core::Time(0)).error(), Schema::Reason::NoInstance);
 }
 
-TEST(InstanceTable, WhatOthersSentAWhileAgoLeavesNoFreeSlotUnused)
+TEST(InstanceTable, OutdatedLoadOfOtherEntriesLeavesNoFreeSlotUnused)
 {
     auto table = table_of({ "a" }, {}, 2);
     table.on_report("a", report(2, 2));
@@ -150,7 +150,7 @@
     EXPECT_TRUE(table.choose(requirements(), Core::Time(0)).has_value());
 }
 
-TEST(InstanceTable, ARefusalCountsUntilTheNextReport)
+TEST(InstanceTable, ARefusalAppliesUntilTheNextReport)
 {
     auto table = table_of({ "a" });
     table.on_refused("a", Schema::Reason::InstanceBusy);
--- a/Tests/LibRouting/TestServerTable.cpp
+++ b/Tests/LibRouting/TestServerTable.cpp
@@ -53,11 +53,11 @@
 {
     auto draining = engine("1", "a");
     draining.is_draining = true;
-    auto partly = engine("3", "a");
-    partly.held[0].end_layer = 15;
+    auto partly_loaded = engine("3", "a");
+    partly_loaded.held[0].end_layer = 15;
     m_table.set_server(draining, m_now);
     m_table.set_server(engine("2", "a", 0), m_now);
-    m_table.set_server(partly, m_now);
+    m_table.set_server(partly_loaded, m_now);
     EXPECT_EQ(choose().error(), NoServer::NoneUsable);
     m_table.set_server(engine("4", "b"), m_now);
     EXPECT_EQ(choose()->id, "4");
@@ -71,7 +71,7 @@
     EXPECT_EQ(choose(2)->id, "1");
 }
 
-TEST_F(ServerTableTest, TheAgentsWordOnTheVersionGoesBeforeTheListUntilItIsOld)
+TEST_F(ServerTableTest, TheAgentsReportOfTheVersionOverridesTheListUntilItIsOutdated)
 {
     m_table.set_server(engine("1", "a", 1), m_now);
     Schema::EngineState state {};
@@ -82,7 +82,7 @@
     EXPECT_FALSE(choose(2).has_value());
 }
 
-TEST_F(ServerTableTest, AnEngineWithAnOrderBeforeItGetsNoWork)
+TEST_F(ServerTableTest, AnEngineThatExecutesAnOrderGetsNoWork)
 {
     m_table.set_server(engine("1", "a"), m_now);
     Schema::EngineState state {};
@@ -92,7 +92,7 @@
     EXPECT_EQ(choose().error(), NoServer::NoneUsable);
 }
 
-TEST_F(ServerTableTest, OthersRequestsCountAndThoseOfThisEntryOnce)
+TEST_F(ServerTableTest, RequestsOfOtherEntriesCountAndThoseOfThisEntryAreCountedOnce)
 {
     m_table.set_server(engine("1", "a"), m_now);
     m_table.on_sent("r1", { .id = "1" }, 900, m_now);
@@ -118,7 +118,7 @@
     EXPECT_EQ(choose().error(), NoServer::AllFull);
 }
 
-TEST_F(ServerTableTest, NearGoesBeforeFarUntilTheNearOneIsTheSlower)
+TEST_F(ServerTableTest, NearEnginesArePreferredUntilTheyAreSlower)
 {
     m_table.set_server(engine("1", "a"), m_now);
     m_table.set_server(engine("2", "b"), m_now);
@@ -129,7 +129,7 @@
     EXPECT_EQ(choose()->id, "1");
 }
 
-TEST_F(ServerTableTest, AServerThatCannotBeReachedIsLeftAloneForAWhile)
+TEST_F(ServerTableTest, AnUnreachableServerIsSuspendedForAWhile)
 {
     m_table.set_server(engine("1", "a"), m_now);
     m_table.on_sent("r1", { .id = "1" }, 900, m_now);
@@ -139,7 +139,7 @@
     EXPECT_TRUE(choose().has_value());
 }
 
-TEST_F(ServerTableTest, TheOneThatFailsOftenIsAvoidedWhileOthersAnswer)
+TEST_F(ServerTableTest, AServerThatFailsOftenIsAvoidedWhileOthersAnswer)
 {
     m_table.set_server(engine("1", "a"), m_now);
     m_table.set_server(engine("2", "a"), m_now);
@@ -166,7 +166,7 @@
     m_table.on_engine_state("10.0.0.1", state, m_now);
     EXPECT_TRUE(m_table.choose(requirements, m_now).has_value());
 
-    // The agent froze together with its engine: the list entry alone is no reason to send requests there.
+    // The agent froze together with its engine: the list record alone is no reason to send requests there.
     m_now += Core::Duration(5000);
     EXPECT_FALSE(m_table.choose(requirements, m_now).has_value());
 
@@ -174,7 +174,7 @@
     EXPECT_TRUE(m_table.choose(requirements, m_now).has_value());
 }
 
-TEST_F(ServerTableTest, ItsOwnEnginesGoBeforeThoseItHelpsAndTheseBeforeOthersUntilTheyAreTheSlower)
+TEST_F(ServerTableTest, OwnedEnginesArePreferredToHelpedOnesAndTheseToOthersUntilTheyAreSlower)
 {
     for (auto const* id : { "1", "2", "3" }) {
         auto server = engine(id, "a");
@@ -194,7 +194,7 @@
     EXPECT_EQ(choose({}, { "2", "3" })->id, "1");
 }
 
-TEST_F(ServerTableTest, AServerThatIsAnotherThanListedIsLeftAloneUntilTheListIsReadAgain)
+TEST_F(ServerTableTest, AServerIsSuspendedAfterTwoMisdirectedAttemptsInARow)
 {
     m_table.set_server(engine("1", "a"), m_now);
     auto refuse = [&] {
@@ -222,11 +222,11 @@
     EXPECT_FALSE(m_table.is_answering("1", m_now + Core::Duration(700)));
 }
 
-TEST_F(ServerTableTest, AServiceOfWhichNoRateIsStatedIsServed)
+TEST_F(ServerTableTest, AServiceWithoutConfiguredRatesIsServed)
 {
-    Schema::EngineTiming bare {};
-    bare.model = "m";
-    m_table.set_timing("llm", bare);
+    Schema::EngineTiming timing_without_rates {};
+    timing_without_rates.model = "m";
+    m_table.set_timing("llm", timing_without_rates);
     m_table.set_server(engine("1", "a"), m_now);
     m_table.set_server(engine("2", "a"), m_now);
     m_table.on_sent("r1", { .id = "1" }, 900, m_now);
@@ -234,18 +234,18 @@
     EXPECT_GT(choose()->predicted, Core::Duration(0));
 }
 
-TEST_F(ServerTableTest, AnEngineOfAServiceThatIsNotKnownToServeAModelGetsNoWork)
+TEST_F(ServerTableTest, AnEngineOfAServiceWithoutAKnownModelGetsNoWork)
 {
     // Without the service's model it is unknown which version must be served there.
-    auto stray = engine("1", "a");
-    stray.service = "unread";
-    m_table.set_server(stray, m_now);
+    auto unconfigured_engine = engine("1", "a");
+    unconfigured_engine.service = "unread";
+    m_table.set_server(unconfigured_engine, m_now);
     ServerRequirements requirements;
     requirements.service = "unread";
     EXPECT_FALSE(m_table.choose(requirements, m_now).has_value());
 }
 
-TEST_F(ServerTableTest, WhatMustBeginSoonIsNotSentWhereItWouldBeginLate)
+TEST_F(ServerTableTest, ARequestIsNotSentWhereItsFirstEventIsPredictedTooLate)
 {
     m_table.set_server(engine("1", "a"), m_now);
     for (auto const* request : { "r1", "r2", "r3" })
@@ -253,15 +253,15 @@
     ServerRequirements requirements;
     requirements.service = "llm";
     requirements.prompt_tokens = 900;
-    auto const whenever = m_table.choose(requirements, m_now);
-    ASSERT_TRUE(whenever.has_value());
-    requirements.max_time_to_first_event = whenever->predicted - Core::Duration(1);
+    auto const unlimited = m_table.choose(requirements, m_now);
+    ASSERT_TRUE(unlimited.has_value());
+    requirements.max_time_to_first_event = unlimited->predicted - Core::Duration(1);
     EXPECT_EQ(m_table.choose(requirements, m_now).error(), NoServer::NoneInTime);
-    requirements.max_time_to_first_event = whenever->predicted + Core::Duration(1);
+    requirements.max_time_to_first_event = unlimited->predicted + Core::Duration(1);
     EXPECT_TRUE(m_table.choose(requirements, m_now).has_value());
 }
 
-TEST_F(ServerTableTest, APromptThatWouldMakeRunningStreamsPauseTooLongWaits)
+TEST_F(ServerTableTest, APromptThatWouldPauseRunningStreamsForTooLongWaits)
 {
     m_table.set_server(engine("1", "a"), m_now);
     ServerRequirements requirements;
@@ -277,11 +277,11 @@
     EXPECT_TRUE(m_table.choose(requirements, m_now).has_value());
 }
 
-TEST_F(ServerTableTest, WhatIsLateAlreadyTakesOnlyPlacesThatOthersAreNotLikelyToNeed)
+TEST_F(ServerTableTest, LateRequestsUseOnlySpareSlots)
 {
-    auto spacious = engine("1", "a");
-    spacious.slots = 6;
-    m_table.set_server(spacious, m_now);
+    auto large_engine = engine("1", "a");
+    large_engine.slots = 6;
+    m_table.set_server(large_engine, m_now);
     ServerRequirements late;
     late.service = "llm";
     late.uses_only_spare_slots = true;
@@ -300,11 +300,11 @@
     EXPECT_TRUE(choose().has_value());
 }
 
-TEST_F(ServerTableTest, EntriesThatDoNotFillAnEngineShareTheRoomThatItsReportShows)
+TEST_F(ServerTableTest, EntriesThatDoNotOwnAnEngineShareItsReportedFreeSlots)
 {
-    auto spacious = engine("1", "a");
-    spacious.slots = 16;
-    m_table.set_server(spacious, m_now);
+    auto large_engine = engine("1", "a");
+    large_engine.slots = 16;
+    m_table.set_server(large_engine, m_now);
     m_table.set_entries(5);
     m_table.set_roles({ { "1", EngineRole::Helper } });
     Schema::EngineState state {};
@@ -329,7 +329,7 @@
     EXPECT_EQ(sent_until_full(), 0);
 }
 
-TEST_F(ServerTableTest, AnEngineThatLoadsOrIsEmptyIsExpectedSoon)
+TEST_F(ServerTableTest, AnEngineThatLoadsOrIsEmptyIsExpectedToServeSoon)
 {
     m_table.set_server(engine("1", "a", 0), m_now);
     EXPECT_EQ(m_table.time_until_next_engine("llm", m_now), std::nullopt);
@@ -347,7 +347,7 @@
     EXPECT_EQ(m_table.time_until_next_engine("llm", m_now), std::nullopt);
 }
 
-TEST_F(ServerTableTest, ConnectionsThatFellSilentTogetherCountAsOneFault)
+TEST_F(ServerTableTest, ConnectionsThatStopDeliveringTogetherCountAsOneFault)
 {
     m_table.set_server(engine("1", "a"), m_now);
     for (auto const* request : { "r1", "r2", "r3", "r4" }) {
@@ -392,7 +392,7 @@
     m_table.on_ended("1", "r1", ServerOutcome::Success, m_now);
 }
 
-TEST_F(ServerTableTest, SilentRequestsHoldNoPlacesThatTheirContinuationsNeed)
+TEST_F(ServerTableTest, RequestsWithoutResponseHoldNoSlotsThatTheirContinuationsNeed)
 {
     m_table.set_server(engine("1", "a"), m_now);
     size_t sent = 0;
@@ -410,7 +410,7 @@
     }
 }
 
-TEST_F(ServerTableTest, BytesOfAnAnswerDoNotMakeAServerReachableThatRefusesConnections)
+TEST_F(ServerTableTest, BytesOfAnAnswerDoNotEndTheSuspensionOfAServerThatRefusesConnections)
 {
     m_table.set_server(engine("1", "a"), m_now);
     for (auto const* request : { "r1", "r2" }) {
@@ -448,7 +448,7 @@
     EXPECT_EQ(choose({}, { "2" }).value().id, "1");
 }
 
-TEST_F(ServerTableTest, AServiceHasAPlaceAsLongAsOneCanBeChosen)
+TEST_F(ServerTableTest, AServiceHasAFreeSlotAsLongAsAServerCanBeChosen)
 {
     EXPECT_FALSE(m_table.has_free_slot("llm", m_now));
     m_table.set_server(engine("1", "a"), m_now);
@@ -465,7 +465,7 @@
 
 // An entry that is neither owner nor helper of an engine needs no updates of its load, once the slots beside the owner's reserve are
 // fewer than the entries that would share them.
-TEST_F(ServerTableTest, AnEngineIsOfUseToThoseThatMaySendThere)
+TEST_F(ServerTableTest, TheRoleDeterminesWhetherAnEngineMayBeUsed)
 {
     m_table.set_server(engine("1", "a"), m_now);
     m_table.set_entries(20);
@@ -493,7 +493,7 @@
     return state;
 }
 
-TEST_F(ServerTableTest, AServerThatStartedAgainHasNoneOfItsPredecessorsFaults)
+TEST_F(ServerTableTest, ANewIncarnationHasNoneOfThePreviousOnesFaults)
 {
     m_table.set_server(started_at(1000, engine("1", "a")), m_now);
     m_table.on_sent("r1", { .id = "1" }, 900, m_now);
@@ -514,12 +514,12 @@
     m_table.on_ended("1", "r1", ServerOutcome::Unreachable, m_now);
     m_table.set_server(started_at(1000, engine("1", "b")), m_now);
     EXPECT_FALSE(choose().has_value());
-    // A list entry without a start doesn't count as a new incarnation either.
+    // A list record without a start doesn't count as a new incarnation either.
     m_table.set_server(engine("1", "a"), m_now);
     EXPECT_FALSE(choose().has_value());
 }
 
-TEST_F(ServerTableTest, WhatWasSentToThePredecessorTakesNoPlace)
+TEST_F(ServerTableTest, RequestsSentToThePreviousIncarnationHoldNoSlot)
 {
     m_table.set_server(started_at(1000, engine("1", "a")), m_now);
     for (int i = 0; i < 5; ++i)
@@ -529,7 +529,7 @@
     EXPECT_TRUE(choose().has_value());
 }
 
-TEST_F(ServerTableTest, AReportOfThePredecessorTellsNothingOfWhoIsListedNow)
+TEST_F(ServerTableTest, AReportOfThePreviousIncarnationDoesNotApplyToTheListedOne)
 {
     m_table.set_server(started_at(1000, engine("1", "a")), m_now);
     m_table.on_engine_state("10.0.0.1", state_of(1000, 3), m_now);
@@ -543,14 +543,14 @@
     EXPECT_EQ(m_table.version_of("1", m_now), 2);
 }
 
-TEST_F(ServerTableTest, AReportOfASuccessorEndsWhatIsKnownAndListedOfThePredecessor)
+TEST_F(ServerTableTest, AReportOfANewIncarnationDropsTheStateOfThePreviousOne)
 {
     m_table.set_server(started_at(1000, engine("1", "a", 3)), m_now);
     m_table.on_sent("r1", { .id = "1" }, 900, m_now);
     m_table.on_ended("1", "r1", ServerOutcome::Unreachable, m_now);
     m_table.on_engine_state("10.0.0.1", state_of(2000, 3), m_now);
     EXPECT_TRUE(choose(3).has_value());
-    // Without the agent's report there is only the list entry, which is of the previous incarnation.
+    // Without the agent's report there is only the list record, which is of the previous incarnation.
     m_table.on_agent_disconnected("10.0.0.1");
     EXPECT_EQ(m_table.version_of("1", m_now), 0);
     EXPECT_FALSE(choose().has_value());
@@ -561,7 +561,7 @@
     EXPECT_EQ(m_table.version_of("1", m_now), 2);
 }
 
-TEST_F(ServerTableTest, AnAgentThatGoesOnTellingOfAnEarlierStartIsBelievedInTheEnd)
+TEST_F(ServerTableTest, AnAgentThatKeepsReportingAnEarlierStartIsTrustedEventually)
 {
     m_table.set_server(started_at(2000, engine("1", "a", 3)), m_now);
     m_table.on_engine_state("10.0.0.1", state_of(2000, 3), m_now);
@@ -573,7 +573,7 @@
     EXPECT_EQ(m_table.version_of("1", m_now), 2);
 }
 
-TEST_F(ServerTableTest, WhatTheListSaysOfALeavingPredecessorKeepsNobodyFromItsSuccessor)
+TEST_F(ServerTableTest, AListRecordOfALeavingIncarnationDoesNotExcludeTheNextOne)
 {
     auto leaving = started_at(1000, engine("1", "a"));
     leaving.is_draining = true;
@@ -590,7 +590,7 @@
     EXPECT_EQ(choose().error(), NoServer::NoneUsable);
 }
 
-TEST_F(ServerTableTest, AServerThatIsClosedIsTakenForFullAndOneThatIsAvoidedGoesLast)
+TEST_F(ServerTableTest, TemporarilyUnavailableServersCountAsFullAndAvoidedOnesAreChosenLast)
 {
     m_table.set_server(engine("1", "a"), m_now);
     m_table.set_server(engine("2", "b"), m_now);
@@ -607,7 +607,7 @@
     EXPECT_EQ(m_table.choose(requirements, m_now).error(), NoServer::AllFull) << "closed servers count as full, as they are usable again soon";
 }
 
-TEST_F(ServerTableTest, WhatMayEndItsServerGoesWhereTheFewestRun)
+TEST_F(ServerTableTest, ARequestThatMayTerminateItsServerGoesToTheLeastLoadedOne)
 {
     m_table.set_server(engine("1", "a"), m_now);
     m_table.set_server(engine("2", "b"), m_now);
--- a/Tests/LibRouting/TestSlotWait.cpp
+++ b/Tests/LibRouting/TestSlotWait.cpp
@@ -69,14 +69,14 @@
 }
 
 // No engine holds the required version, and none is about to load it.
-TEST_F(SlotWaitTest, WhereNoEngineIsAboutToServeARequestIsHopelessAtOnce)
+TEST_F(SlotWaitTest, WithoutAnEngineAboutToServeARequestIsRefusedAtOnce)
 {
     auto wait = this->wait();
     EXPECT_TRUE(wait.should_refuse(request(1), NoServer::NoneUsable, m_now));
 }
 
 // After a power loss, engines are up but empty, with a copy of the weights on their instances.
-TEST_F(SlotWaitTest, WhereAnEngineIsAboutToLoadARequestWaitsForIt)
+TEST_F(SlotWaitTest, ARequestWaitsForAnEngineThatIsAboutToLoad)
 {
     add_engine(0);
     auto wait = this->wait();
@@ -86,7 +86,7 @@
 }
 
 // More requests arrive than the engines can serve, among them those of callers that were refused and retry.
-TEST_F(SlotWaitTest, CallersThatAreLateAlreadyStandBehindThoseThatCanBeInTime)
+TEST_F(SlotWaitTest, LateRequestsQueueBehindThoseThatCanBeInTime)
 {
     add_engine(1);
     auto late = wait();
@@ -107,7 +107,7 @@
     EXPECT_EQ(m_queue.late_count, 0u);
 }
 
-TEST_F(SlotWaitTest, ALateCallerIsRefusedOnceThePlacesLeftForItComeTooSeldom)
+TEST_F(SlotWaitTest, ALateRequestIsRefusedOnceSpareSlotsAreTooRare)
 {
     add_engine(1);
     auto wait = this->wait();
@@ -118,7 +118,7 @@
     EXPECT_TRUE(wait.should_refuse(returned, NoServer::AllFull, m_now + Duration(3000)));
 }
 
-TEST_F(SlotWaitTest, ACallerThatWaitsToBeInTimeIsLateOnceTheFirstEventCannotComeInTime)
+TEST_F(SlotWaitTest, ARequestBecomesLateOnceTheFirstEventCannotComeInTime)
 {
     add_engine(1);
     auto wait = this->wait();
@@ -129,7 +129,7 @@
     EXPECT_TRUE(wait.has_become_late(fresh, m_now + Duration(390)));
 }
 
-TEST_F(SlotWaitTest, AFullLineTakesNoMore)
+TEST_F(SlotWaitTest, AFullQueueRefusesFurtherRequests)
 {
     add_engine(1);
     std::vector<SlotWait> waits(5, wait());
@@ -139,7 +139,7 @@
     }
 }
 
-TEST_F(SlotWaitTest, CallersThatAreRefusedTogetherComeBackApart)
+TEST_F(SlotWaitTest, CallersRefusedTogetherRetryAtDifferentTimes)
 {
     add_engine(1);
     auto const wait = this->wait();
