--- a/Libraries/LibRouting/EngineTimingModel.h
+++ b/Libraries/LibRouting/EngineTimingModel.h
@@ -45,9 +45,12 @@
     double m_slots;
     double m_steps_per_event;
     double m_step_ms;
+    // Added to a decoding step for each running request.
     double m_per_sequence_ms;
+    // Added to a decoding step for each running request and 1000 tokens of its context.
     double m_context_ms_per_1000;
     double m_prompt_tokens_per_ms;
+    // Prefill time per million pairs of prompt tokens: the part that grows with the square of the prompt's length.
     double m_pairs_ms_per_million;
     double m_usual_prompt;
     double m_usual_answer;
--- a/Libraries/LibRouting/InstanceTable.h
+++ b/Libraries/LibRouting/InstanceTable.h
@@ -107,11 +107,18 @@
         Core::Time ejected_until { 0 };
     };
 
+    /// Number of requests of all entries in flight at the instance.
     size_t load(State const&) const;
+    /// Load as a fraction of the capacity, plus a small part for the load that the backend server reports. The lower, the better.
     double relative_load(State const&) const;
+    /// Whether the instance is usable and serves the required model and version.
     bool can_serve(State const&, InstanceRequirements const&) const;
+    /// @param saw_busy set to true if an instance that could serve the request is full or refuses requests at present.
     std::vector<std::string> candidates(InstanceRequirements const&, Core::Time now, bool& saw_busy) const;
+    /// Returns the less loaded of two instances picked at random.
     std::string less_loaded_of_two(std::vector<std::string> const&);
+    /// Prefers an instance that has cached the prefix, then the first of the prefix's rendezvous order, as long as its load is below the
+    /// limit.
     std::string choose_by_prefix(std::vector<std::string> const&, std::string const& prefix);
 
     InstanceTableSettings m_settings;
--- a/Libraries/LibRouting/RequestQueue.h
+++ b/Libraries/LibRouting/RequestQueue.h
@@ -40,7 +40,7 @@
     /// each of its customers in a row.
     void offer(std::function<bool(uint64_t)> const& start);
 
-    /// Updates the estimates: a request of this service ended at an instance, `took` after it was sent there.
+    /// Updates the estimates: a request of this service ended at an instance, `duration` after it was sent there.
     void on_completed(Core::Time now, Core::Duration duration);
 
     /// Mean time that a request takes at an instance; 0 until one has ended.
@@ -52,6 +52,7 @@
     size_t size() const { return m_positions.size(); }
 
 private:
+    /// The queued requests of one priority.
     struct Level {
         std::map<std::string, std::deque<uint64_t>> by_customer;
         // Customers with queued requests; the front one has the next turn.
@@ -59,10 +60,12 @@
         size_t size { 0 };
     };
 
+    /// Number of queued requests of this priority and of more urgent ones.
     size_t count_ahead_of(int priority) const;
 
     size_t m_limit;
     std::map<int, Level> m_levels;
+    // Priority and customer of each queued request.
     std::map<uint64_t, std::pair<int, std::string>> m_positions;
     // Mean time between completions in milliseconds; 0 while unknown.
     double m_mean_completion_interval_ms { 0 };
--- a/Libraries/LibRouting/SlotWait.h
+++ b/Libraries/LibRouting/SlotWait.h
@@ -44,6 +44,7 @@
 
 /// The properties of a request that determine its order in the queue and how long it waits.
 struct WaitingRequest {
+    /// Identifies the request in the RequestQueue.
     uint64_t number { 0 };
     std::string service;
     /// Empty if the request belongs to no customer.
@@ -81,7 +82,7 @@
     /// Always false for a resumed stream.
     bool has_become_late(WaitingRequest const&, Core::Time now) const;
     /// Whether the request should be refused, as no slot is expected to become free early enough to answer it before its deadline. A
-    /// resumed stream is hopeless once its caller has received nothing for 2 seconds.
+    /// resumed stream should be refused once its caller has received nothing for 2 seconds.
     /// @param reason why ServerTable::choose() found no backend server.
     bool should_refuse(WaitingRequest const&, NoServer reason, Core::Time now) const;
     /// Time after which a refused caller should retry: the expected time until all waiting requests have got a slot, multiplied by a
--- a/Tests/LibRouting/TestServerTable.cpp
+++ b/Tests/LibRouting/TestServerTable.cpp
@@ -604,7 +604,7 @@
     requirements.temporarily_unavailable = { "1" };
     EXPECT_EQ(m_table.choose(requirements, m_now)->id, "2");
     requirements.temporarily_unavailable = { "1", "2" };
-    EXPECT_EQ(m_table.choose(requirements, m_now).error(), NoServer::AllFull) << "closed servers count as full, as they are usable again soon";
+    EXPECT_EQ(m_table.choose(requirements, m_now).error(), NoServer::AllFull) << "temporarily unavailable servers count as full";
 }
 
 TEST_F(ServerTableTest, ARequestThatMayTerminateItsServerGoesToTheLeastLoadedOne)
