--- a/Services/DirectEntry/DirectEntry.h
+++ b/Services/DirectEntry/DirectEntry.h
@@ -146,7 +146,7 @@
     Routing::ReturningCallers m_returning;
     RequestContext m_context;
     // Queues of the requests that wait for a slot, by service.
-    std::map<std::string, Routing::ServiceLine> m_service_queues;
+    std::map<std::string, Routing::ServiceQueue> m_service_queues;
     std::map<uint64_t, std::shared_ptr<ProxiedRequest>> m_requests;
     uint64_t m_next_request { 1 };
     int m_offer_ticks { 0 };
--- a/Services/DirectEntry/ProxiedRequest.cpp
+++ b/Services/DirectEntry/ProxiedRequest.cpp
@@ -10,7 +10,7 @@
 
 namespace DirectEntry {
 
-using Routing::longest_retry_after;
+using Routing::max_retry_after;
 using Routing::NextStep;
 using Routing::SendEnd;
 using Routing::ServerOutcome;
@@ -94,7 +94,7 @@
 {
     auto const& routes = m_context.routes;
     if (!routes) {
-        refuse(status_unavailable, Refusal::NoConfiguration, longest_retry_after);
+        refuse(status_unavailable, Refusal::NoConfiguration, max_retry_after);
         return false;
     }
     m_configuration_version = routes->version();
@@ -134,7 +134,7 @@
         return;
     case Routing::RouteDenial::UnreadableCustomer:
     case Routing::RouteDenial::BlockedRoute:
-        refuse(status_unavailable, Refusal::UnreadableConfiguration, longest_retry_after);
+        refuse(status_unavailable, Refusal::UnreadableConfiguration, max_retry_after);
         return;
     }
 }
@@ -165,7 +165,7 @@
     m_phase = Phase::Waiting;
     auto const request = waiting();
     m_wait.begin(request, now);
-    if (m_silent_attempts.empty() && m_wait.is_hopeless(request, m_no_server, now)) {
+    if (m_silent_attempts.empty() && m_wait.should_refuse(request, m_no_server, now)) {
         refuse_waiting(now);
         return;
     }
@@ -178,26 +178,26 @@
 void ProxiedRequest::check_waiting(Core::Time now)
 {
     auto const request = waiting();
-    if (m_wait.becomes_late(request, now)) {
+    if (m_wait.has_become_late(request, now)) {
         m_wait.leave();
         m_terms.in_time_until = now - Core::Duration(1);
         wait_for_slot();
         return;
     }
     // While a silent server may still answer, waiting for another one costs nothing.
-    if (m_silent_attempts.empty() && m_wait.is_hopeless(request, m_no_server, now))
+    if (m_silent_attempts.empty() && m_wait.should_refuse(request, m_no_server, now))
         refuse_waiting(now);
 }
 
-Routing::ServerNeeds ProxiedRequest::needs()
+Routing::ServerRequirements ProxiedRequest::needs()
 {
-    Routing::ServerNeeds needs;
+    Routing::ServerRequirements needs;
     needs.service = m_service;
     needs.required_version = m_context.required_version(m_service);
     needs.newest_version = m_context.newest_version(m_service);
     needs.prompt_tokens = m_head.prompt_tokens;
     needs.excluded = tried_servers();
-    needs.longest_pause = Core::Duration(m_route.objective_gap_ms);
+    needs.max_event_gap = Core::Duration(m_route.objective_gap_ms);
     m_suspicion.add_to(needs);
     return needs;
 }
@@ -235,7 +235,7 @@
 {
     auto needs = this->needs();
     if (!m_has_delivered)
-        needs.begins_within = m_terms.in_time_until - now;
+        needs.max_time_to_first_event = m_terms.in_time_until - now;
     auto const choice = m_context.servers.choose(needs, now);
     if (choice.has_value()) {
         send_to(*choice, now);
@@ -251,7 +251,7 @@
 bool ProxiedRequest::try_send_late(Core::Time now)
 {
     auto needs = this->needs();
-    needs.takes_leftover = m_context.waiting_policy.orders_by_timeliness;
+    needs.uses_only_spare_slots = m_context.waiting_policy.orders_by_timeliness;
     auto const choice = m_context.servers.choose(needs, now);
     if (!choice.has_value()) {
         m_no_server = choice.error();
@@ -501,7 +501,7 @@
         end_attempt(attempt, SendEnd::ServerEnded, ServerOutcome::Unreachable);
         return;
     }
-    end_attempt(attempt, SendEnd::BrokenOff, m_context.servers.is_switching(attempt.target().id, Core::monotonic_now()) ? ServerOutcome::Neutral : ServerOutcome::Failure);
+    end_attempt(attempt, SendEnd::BrokenOff, m_context.servers.is_executing_order(attempt.target().id, Core::monotonic_now()) ? ServerOutcome::Neutral : ServerOutcome::Failure);
 }
 
 // Attempts at silent servers.
@@ -523,7 +523,7 @@
     m_context.metrics.count("mountbarrow_silent_sends_total");
     Core::log_event(Core::LogLevel::Info, "send_silent",
         { { "request", m_head.request_id }, { "server", m_attempt->target().id }, { "heard_ms_ago", milliseconds(now - m_attempt->last_received_at()) }, { "ran_since_heard_ms", milliseconds(m_attempt->silent_for(m_context.running_time())) }, { "last_event", m_last_event ? std::to_string(*m_last_event) : "" } });
-    m_context.servers.on_silent(m_attempt->target().id, m_head.request_id, now);
+    m_context.servers.on_no_response(m_attempt->target().id, m_head.request_id, now);
     m_suspicion.on_send_over();
     m_tried_servers[m_attempt->target().id] = m_attempt->target().started_at_ms;
     m_may_have_run = true;
@@ -646,7 +646,7 @@
     auto const now = Core::monotonic_now();
     end_call();
     report_server_outcome(server_outcome, now);
-    if (server_outcome == ServerOutcome::Misdirected && m_context.servers.is_doubtful(m_attempt->target().id))
+    if (server_outcome == ServerOutcome::Misdirected && m_context.servers.is_repeatedly_misdirected(m_attempt->target().id))
         m_context.server_list_doubted();
     // A server that was only full may have a free slot when the request is sent again.
     if (server_outcome != ServerOutcome::Full)
@@ -703,7 +703,7 @@
 
 void ProxiedRequest::refuse_not_run()
 {
-    refuse(status_unavailable, Refusal::NotRunAnywhere, m_server_retry_after.value_or(m_context.servers.turnover(m_service)));
+    refuse(status_unavailable, Refusal::NotRunAnywhere, m_server_retry_after.value_or(m_context.servers.server_slot_interval(m_service)));
 }
 
 void ProxiedRequest::send_again()
@@ -784,7 +784,7 @@
     }
     if (m_no_server == Routing::NoServer::NoneUsable) {
         // No slot can become free until engines are added or have loaded their weights.
-        refuse(status_unavailable, Refusal::NoServer, longest_retry_after);
+        refuse(status_unavailable, Refusal::NoServer, max_retry_after);
         return;
     }
     refuse(status_unavailable, Refusal::NoSlot, m_wait.retry_after(m_service, now, m_context.random));
--- a/Services/DirectEntry/ProxiedRequest.h
+++ b/Services/DirectEntry/ProxiedRequest.h
@@ -74,7 +74,7 @@
     void refuse_waiting(Core::Time now);
     /// Whether the attempt is to be repeated because the server holds too old a version and has not begun to answer.
     bool is_outdated(BackendAttempt const&, Core::Time now) const;
-    Routing::ServerNeeds needs();
+    Routing::ServerRequirements needs();
     std::set<std::string> tried_servers() const;
     void send_to(Routing::ServerChoice const&, Core::Time now);
     void start_call(Platform::BackendTerms const&);
@@ -166,7 +166,7 @@
     // When the caller first sent this request, also to another entry that refused it, as far as is known.
     Core::Time m_first_requested_at { 0 };
     Routing::AnswerTerms m_terms;
-    Routing::PlaceWait m_wait;
+    Routing::SlotWait m_wait;
     // Why no backend server could be chosen last.
     Routing::NoServer m_no_server { Routing::NoServer::NoneUsable };
     std::optional<Core::Duration> m_first_event_after;
--- a/Services/DirectEntry/RequestContext.h
+++ b/Services/DirectEntry/RequestContext.h
@@ -6,11 +6,11 @@
 #include <LibCore/EventLoop.h>
 #include <LibCore/Metrics.h>
 #include <LibPlatform/RequestHeads.h>
-#include <LibRouting/PlaceWait.h>
 #include <LibRouting/RetryShare.h>
 #include <LibRouting/ReturningCallers.h>
 #include <LibRouting/RouteTable.h>
 #include <LibRouting/ServerTable.h>
+#include <LibRouting/SlotWait.h>
 #include <functional>
 #include <map>
 #include <memory>
@@ -49,7 +49,7 @@
     /// Recognises callers that repeat a request which this or another entry refused.
     Routing::ReturningCallers& returning;
     /// The queue of the requests that wait for a slot at the service.
-    std::function<Routing::ServiceLine&(std::string const& service)> service_queue;
+    std::function<Routing::ServiceQueue&(std::string const& service)> service_queue;
     /// Called once for each admitted request for the service.
     std::function<void(std::string const& service)> request_admitted;
     /// Called when a backend server differs repeatedly from its entry in the list.
--- a/Services/DirectEntry/RequestSuspicion.h
+++ b/Services/DirectEntry/RequestSuspicion.h
@@ -27,7 +27,7 @@
     bool may_send();
     /// Adds the servers to avoid or exclude: a clear request avoids servers that run a suspect alone, a suspect is not sent to them,
     /// and one that must run alone is not sent to any server that runs a suspect, and prefers an idle one.
-    void add_to(Routing::ServerNeeds&);
+    void add_to(Routing::ServerRequirements&);
 
     /// The request is being sent to this server.
     void on_sent(std::string const& server);
--- a/Tests/LibRouting/TestEngineFollowers.cpp
+++ b/Tests/LibRouting/TestEngineFollowers.cpp
@@ -8,7 +8,7 @@
 
 namespace {
 
-/// Regions of as many domains, domains of as many entries and engines.
+/// A fleet of equally large regions, each with one failure domain.
 struct Fleet {
     Fleet(size_t region_count, size_t entries_by_region, size_t engines_by_region)
     {
@@ -34,7 +34,7 @@
         return static_cast<size_t>(std::count_if(engines.begin(), engines.end(), [&](auto const& engine) { return follows_engine(entry, entries, engine, regions); }));
     }
 
-    Regions regions;
+    RegionByDomain regions;
     std::vector<SharingEntry> entries;
     std::vector<SharedEngine> engines;
 };
@@ -48,9 +48,9 @@
         EXPECT_EQ(fleet.followed_by(entry), fleet.engines.size());
 }
 
-// A full mesh grows with entries times engines, and so do the messages of each agent: at some 70 entries before 200 engines
-// links took half of the processor time of all instances.
-TEST(EngineFollowers, AnAgentsLinksStayTheSameHoweverManyEntriesThereAre)
+// In a full mesh the number of links grows with entries times engines, and so do the messages of all agents. With some 70 entries and
+// 200 engines, links took half of the processor time of all instances.
+TEST(EngineFollowers, NumberOfLinksPerAgentIsIndependentOfNumberOfEntries)
 {
     for (size_t const entries_by_region : { 6, 15, 70 }) {
         Fleet const fleet(5, entries_by_region, 40);
@@ -59,19 +59,19 @@
     }
 }
 
-TEST(EngineFollowers, AnEntrysLinksGrowWithEnginesByEntryOnly)
+TEST(EngineFollowers, NumberOfLinksPerEntryGrowsWithEnginesPerEntryOnly)
 {
     for (size_t const scale : { 1, 4 }) {
         Fleet const fleet(5, 10 * scale, 40 * scale);
         size_t most = 0;
         for (auto const& entry : fleet.entries)
             most = std::max(most, fleet.followed_by(entry));
-        // Four engines by entry, sixteen followers each.
+        // Four engines per entry, sixteen followers per engine.
         EXPECT_LE(most, 2 * 4 * followers_per_engine);
     }
 }
 
-TEST(EngineFollowers, NearEntriesGoFirstAndSomeAreElsewhere)
+TEST(EngineFollowers, NearEntriesArePreferredAndSomeFollowersAreInOtherRegions)
 {
     Fleet const fleet(5, 10, 40);
     for (auto const& engine : fleet.engines) {
@@ -82,8 +82,8 @@
     }
 }
 
-// A whole region of entries is lost: those elsewhere fill the places, and no engine is left alone.
-TEST(EngineFollowers, EnginesOfARegionWithoutEntriesAreFollowedFromElsewhere)
+// If all entries of a region are lost, entries of other regions follow its engines, and no engine is left without followers.
+TEST(EngineFollowers, EnginesOfARegionWithoutEntriesAreFollowedFromOtherRegions)
 {
     Fleet fleet(5, 10, 40);
     std::erase_if(fleet.entries, [](auto const& entry) { return entry.failure_domain == "domain-0"; });
@@ -91,7 +91,7 @@
         EXPECT_EQ(fleet.followers(engine).size(), followers_per_engine);
 }
 
-RC_GTEST_PROP(EngineFollowers, TheLossOfAnEntryMovesOnlyItsOwnLinks, ())
+RC_GTEST_PROP(EngineFollowers, LossOfAnEntryChangesOnlyItsOwnLinks, ())
 {
     Fleet fleet(*rc::gen::inRange<size_t>(1, 5), *rc::gen::inRange<size_t>(1, 12), 5);
     std::map<std::string, std::vector<std::string>> before;
@@ -110,12 +110,12 @@
     }
 }
 
-TEST(FollowedEngines, AnEntryThatHasJustStartedFollowsAFewNearOnes)
+TEST(FollowedEngines, AnEntryThatHasJustStartedFollowsAFewOfTheNearestEngines)
 {
     Fleet const fleet(5, 15, 40);
     auto const& self = fleet.entries.front();
     FollowedEngines followed(self, fleet.regions);
-    // It knows no other entry yet, and would be the only follower of each.
+    // The entry knows no others yet, so it would be the only follower of every engine.
     followed.update(fleet.engines, { self }, {}, Core::Time(1000));
     EXPECT_EQ(followed.ips().size(), 64u);
     for (auto const& engine : fleet.engines)
@@ -125,7 +125,7 @@
         EXPECT_EQ(followed.contains(engine.id), follows_engine(self, fleet.entries, engine, fleet.regions));
 }
 
-TEST(FollowedEngines, AnEntryThatStaysAloneFollowsAll)
+TEST(FollowedEngines, AnEntryWithoutPeersFollowsAllEngines)
 {
     Fleet const fleet(5, 1, 40);
     auto const& self = fleet.entries.front();
@@ -135,7 +135,7 @@
     EXPECT_EQ(followed.ips().size(), fleet.engines.size());
 }
 
-TEST(FollowedEngines, AnEngineThatIsFilledFromFarAwayIsFollowedForAWhile)
+TEST(FollowedEngines, ADistantEngineThatIsUsedStaysFollowedForFiveSeconds)
 {
     Fleet const fleet(5, 30, 40);
     auto const& self = fleet.entries.front();
--- a/Tests/LibRouting/TestServerTable.cpp
+++ b/Tests/LibRouting/TestServerTable.cpp
@@ -53,11 +53,11 @@
 {
     auto draining = engine("1", "a");
     draining.is_draining = true;
-    auto partly = engine("3", "a");
-    partly.held[0].end_layer = 15;
+    auto partly_loaded = engine("3", "a");
+    partly_loaded.held[0].end_layer = 15;
     m_table.set_server(draining, m_now);
     m_table.set_server(engine("2", "a", 0), m_now);
-    m_table.set_server(partly, m_now);
+    m_table.set_server(partly_loaded, m_now);
     EXPECT_EQ(choose().error(), NoServer::NoneUsable);
     m_table.set_server(engine("4", "b"), m_now);
     EXPECT_EQ(choose()->id, "4");
@@ -71,7 +71,7 @@
     EXPECT_EQ(choose(2)->id, "1");
 }
 
-TEST_F(ServerTableTest, TheAgentsWordOnTheVersionGoesBeforeTheListUntilItIsOld)
+TEST_F(ServerTableTest, TheAgentsReportOfTheVersionOverridesTheListUntilItIsOutdated)
 {
     m_table.set_server(engine("1", "a", 1), m_now);
     Schema::EngineState state {};
@@ -82,7 +82,7 @@
     EXPECT_FALSE(choose(2).has_value());
 }
 
-TEST_F(ServerTableTest, AnEngineWithAnOrderBeforeItGetsNoWork)
+TEST_F(ServerTableTest, AnEngineThatExecutesAnOrderGetsNoWork)
 {
     m_table.set_server(engine("1", "a"), m_now);
     Schema::EngineState state {};
@@ -92,7 +92,7 @@
     EXPECT_EQ(choose().error(), NoServer::NoneUsable);
 }
 
-TEST_F(ServerTableTest, OthersRequestsCountAndThoseOfThisEntryOnce)
+TEST_F(ServerTableTest, RequestsOfOtherEntriesCountAndThoseOfThisEntryAreCountedOnce)
 {
     m_table.set_server(engine("1", "a"), m_now);
     m_table.on_sent("r1", { .id = "1" }, 900, m_now);
@@ -100,7 +100,7 @@
     state.version = 1;
     state.running = 4;
     m_table.on_engine_state("10.0.0.1", state, m_now);
-    // Three of others and one of its own fill four slots and leave the one that may wait.
+    // Three requests of other entries and one of this entry fill the four slots. One more may queue inside the engine.
     EXPECT_TRUE(choose().has_value());
     m_table.on_sent("r2", { .id = "1" }, 900, m_now);
     EXPECT_EQ(choose().error(), NoServer::AllFull);
@@ -118,7 +118,7 @@
     EXPECT_EQ(choose().error(), NoServer::AllFull);
 }
 
-TEST_F(ServerTableTest, NearGoesBeforeFarUntilTheNearOneIsTheSlower)
+TEST_F(ServerTableTest, NearEnginesArePreferredUntilTheyAreSlower)
 {
     m_table.set_server(engine("1", "a"), m_now);
     m_table.set_server(engine("2", "b"), m_now);
@@ -129,7 +129,7 @@
     EXPECT_EQ(choose()->id, "1");
 }
 
-TEST_F(ServerTableTest, AServerThatCannotBeReachedIsLeftAloneForAWhile)
+TEST_F(ServerTableTest, AnUnreachableServerIsSuspendedForAWhile)
 {
     m_table.set_server(engine("1", "a"), m_now);
     m_table.on_sent("r1", { .id = "1" }, 900, m_now);
@@ -139,7 +139,7 @@
     EXPECT_TRUE(choose().has_value());
 }
 
-TEST_F(ServerTableTest, TheOneThatFailsOftenIsAvoidedWhileOthersAnswer)
+TEST_F(ServerTableTest, AServerThatFailsOftenIsAvoidedWhileOthersAnswer)
 {
     m_table.set_server(engine("1", "a"), m_now);
     m_table.set_server(engine("2", "a"), m_now);
@@ -155,26 +155,26 @@
 TEST_F(ServerTableTest, AnEngineThatHasYetToReachTheNewestVersionIsUsedOnlyOnItsAgentsWord)
 {
     m_table.set_server(engine("1", "a", 1), m_now);
-    ServerNeeds needs { .service = "llm", .required_version = {}, .newest_version = 1, .prompt_tokens = 900, .excluded = {} };
-    EXPECT_TRUE(m_table.choose(needs, m_now).has_value());
-    needs.newest_version = 2;
-    EXPECT_FALSE(m_table.choose(needs, m_now).has_value());
+    ServerRequirements requirements { .service = "llm", .required_version = {}, .newest_version = 1, .prompt_tokens = 900, .excluded = {} };
+    EXPECT_TRUE(m_table.choose(requirements, m_now).has_value());
+    requirements.newest_version = 2;
+    EXPECT_FALSE(m_table.choose(requirements, m_now).has_value());
 
     Schema::EngineState state {};
     state.version = 1;
     state.pace = 1;
     m_table.on_engine_state("10.0.0.1", state, m_now);
-    EXPECT_TRUE(m_table.choose(needs, m_now).has_value());
+    EXPECT_TRUE(m_table.choose(requirements, m_now).has_value());
 
-    // The agent froze with its engine: what the list says of it is no reason to send it anything.
+    // The agent froze together with its engine: the list record alone is no reason to send requests there.
     m_now += Core::Duration(5000);
-    EXPECT_FALSE(m_table.choose(needs, m_now).has_value());
+    EXPECT_FALSE(m_table.choose(requirements, m_now).has_value());
 
     m_table.set_server(engine("1", "a", 2), m_now);
-    EXPECT_TRUE(m_table.choose(needs, m_now).has_value());
+    EXPECT_TRUE(m_table.choose(requirements, m_now).has_value());
 }
 
-TEST_F(ServerTableTest, ItsOwnEnginesGoBeforeThoseItHelpsAndTheseBeforeOthersUntilTheyAreTheSlower)
+TEST_F(ServerTableTest, OwnedEnginesArePreferredToHelpedOnesAndTheseToOthersUntilTheyAreSlower)
 {
     for (auto const* id : { "1", "2", "3" }) {
         auto server = engine(id, "a");
@@ -190,11 +190,11 @@
     m_table.on_sent("r1", { .id = "2" }, 900, m_now);
     m_table.on_sent("r2", { .id = "2" }, 900, m_now);
     EXPECT_EQ(choose()->id, "3");
-    // One that is not there to be used leaves the others.
+    // With the preferred engines excluded, the remaining one is used.
     EXPECT_EQ(choose({}, { "2", "3" })->id, "1");
 }
 
-TEST_F(ServerTableTest, AServerThatIsAnotherThanListedIsLeftAloneUntilTheListIsReadAgain)
+TEST_F(ServerTableTest, AServerIsSuspendedAfterTwoMisdirectedAttemptsInARow)
 {
     m_table.set_server(engine("1", "a"), m_now);
     auto refuse = [&] {
@@ -202,15 +202,15 @@
         m_table.on_ended("1", "r", ServerOutcome::Misdirected, m_now);
     };
     refuse();
-    // Once may come of a version that changed just now.
+    // A single misdirected attempt may be due to a version that has just changed.
     EXPECT_TRUE(choose().has_value());
-    EXPECT_FALSE(m_table.is_doubtful("1"));
+    EXPECT_FALSE(m_table.is_repeatedly_misdirected("1"));
     refuse();
     EXPECT_FALSE(choose().has_value());
-    EXPECT_TRUE(m_table.is_doubtful("1"));
+    EXPECT_TRUE(m_table.is_repeatedly_misdirected("1"));
     m_table.on_sent("r", { .id = "1" }, 900, m_now);
     m_table.on_ended("1", "r", ServerOutcome::Success, m_now);
-    EXPECT_FALSE(m_table.is_doubtful("1"));
+    EXPECT_FALSE(m_table.is_repeatedly_misdirected("1"));
 }
 
 TEST_F(ServerTableTest, AServerIsAnsweringWhileItsLastBytesAreRecent)
@@ -222,11 +222,11 @@
     EXPECT_FALSE(m_table.is_answering("1", m_now + Core::Duration(700)));
 }
 
-TEST_F(ServerTableTest, AServiceOfWhichNoRateIsStatedIsServed)
+TEST_F(ServerTableTest, AServiceWithoutConfiguredRatesIsServed)
 {
-    Schema::EngineTiming bare {};
-    bare.model = "m";
-    m_table.set_timing("llm", bare);
+    Schema::EngineTiming timing_without_rates {};
+    timing_without_rates.model = "m";
+    m_table.set_timing("llm", timing_without_rates);
     m_table.set_server(engine("1", "a"), m_now);
     m_table.set_server(engine("2", "a"), m_now);
     m_table.on_sent("r1", { .id = "1" }, 900, m_now);
@@ -234,64 +234,64 @@
     EXPECT_GT(choose()->predicted, Core::Duration(0));
 }
 
-TEST_F(ServerTableTest, AnEngineOfAServiceThatIsNotKnownToServeAModelGetsNoWork)
+TEST_F(ServerTableTest, AnEngineOfAServiceWithoutAKnownModelGetsNoWork)
 {
-    // Without the service's model nobody knows which version must be served there.
-    auto stray = engine("1", "a");
-    stray.service = "unread";
-    m_table.set_server(stray, m_now);
-    ServerNeeds needs;
-    needs.service = "unread";
-    EXPECT_FALSE(m_table.choose(needs, m_now).has_value());
+    // Without the service's model it is unknown which version must be served there.
+    auto unconfigured_engine = engine("1", "a");
+    unconfigured_engine.service = "unread";
+    m_table.set_server(unconfigured_engine, m_now);
+    ServerRequirements requirements;
+    requirements.service = "unread";
+    EXPECT_FALSE(m_table.choose(requirements, m_now).has_value());
 }
 
-TEST_F(ServerTableTest, WhatMustBeginSoonIsNotSentWhereItWouldBeginLate)
+TEST_F(ServerTableTest, ARequestIsNotSentWhereItsFirstEventIsPredictedTooLate)
 {
     m_table.set_server(engine("1", "a"), m_now);
     for (auto const* request : { "r1", "r2", "r3" })
         m_table.on_sent(request, { .id = "1" }, 3000, m_now);
-    ServerNeeds needs;
-    needs.service = "llm";
-    needs.prompt_tokens = 900;
-    auto const whenever = m_table.choose(needs, m_now);
-    ASSERT_TRUE(whenever.has_value());
-    needs.begins_within = whenever->predicted - Core::Duration(1);
-    EXPECT_EQ(m_table.choose(needs, m_now).error(), NoServer::NoneInTime);
-    needs.begins_within = whenever->predicted + Core::Duration(1);
-    EXPECT_TRUE(m_table.choose(needs, m_now).has_value());
+    ServerRequirements requirements;
+    requirements.service = "llm";
+    requirements.prompt_tokens = 900;
+    auto const unlimited = m_table.choose(requirements, m_now);
+    ASSERT_TRUE(unlimited.has_value());
+    requirements.max_time_to_first_event = unlimited->predicted - Core::Duration(1);
+    EXPECT_EQ(m_table.choose(requirements, m_now).error(), NoServer::NoneInTime);
+    requirements.max_time_to_first_event = unlimited->predicted + Core::Duration(1);
+    EXPECT_TRUE(m_table.choose(requirements, m_now).has_value());
 }
 
-TEST_F(ServerTableTest, APromptThatWouldMakeRunningStreamsPauseTooLongWaits)
+TEST_F(ServerTableTest, APromptThatWouldPauseRunningStreamsForTooLongWaits)
 {
     m_table.set_server(engine("1", "a"), m_now);
-    ServerNeeds needs;
-    needs.service = "llm";
-    needs.prompt_tokens = 3000;
-    // Alone, a prompt is read however long it is.
-    needs.longest_pause = Core::Duration(100);
-    EXPECT_TRUE(m_table.choose(needs, m_now).has_value());
+    ServerRequirements requirements;
+    requirements.service = "llm";
+    requirements.prompt_tokens = 3000;
+    // Without other pending prefill, a prompt of any length is accepted.
+    requirements.max_event_gap = Core::Duration(100);
+    EXPECT_TRUE(m_table.choose(requirements, m_now).has_value());
     m_table.on_sent("r1", { .id = "1" }, 3000, m_now);
-    needs.longest_pause = Core::Duration(300);
-    EXPECT_EQ(m_table.choose(needs, m_now).error(), NoServer::AllFull);
+    requirements.max_event_gap = Core::Duration(300);
+    EXPECT_EQ(m_table.choose(requirements, m_now).error(), NoServer::AllFull);
     m_table.on_first_event("1", "r1", m_now);
-    EXPECT_TRUE(m_table.choose(needs, m_now).has_value());
+    EXPECT_TRUE(m_table.choose(requirements, m_now).has_value());
 }
 
-TEST_F(ServerTableTest, WhatIsLateAlreadyTakesOnlyPlacesThatOthersAreNotLikelyToNeed)
+TEST_F(ServerTableTest, LateRequestsUseOnlySpareSlots)
 {
-    auto spacious = engine("1", "a");
-    spacious.slots = 6;
-    m_table.set_server(spacious, m_now);
-    ServerNeeds late;
+    auto large_engine = engine("1", "a");
+    large_engine.slots = 6;
+    m_table.set_server(large_engine, m_now);
+    ServerRequirements late;
     late.service = "llm";
-    late.takes_leftover = true;
+    late.uses_only_spare_slots = true;
     EXPECT_TRUE(m_table.choose(late, m_now).has_value());
-    // A prompt that is still being read comes first.
+    // Pending prefill of another prompt goes first.
     m_table.on_sent("r1", { .id = "1" }, 900, m_now);
     EXPECT_FALSE(m_table.choose(late, m_now).has_value());
     m_table.on_first_event("1", "r1", m_now);
     EXPECT_TRUE(m_table.choose(late, m_now).has_value());
-    // So do the last places.
+    // The last free slots stay reserved as well.
     for (auto const* request : { "r2", "r3", "r4" }) {
         m_table.on_sent(request, { .id = "1" }, 900, m_now);
         m_table.on_first_event("1", request, m_now);
@@ -300,11 +300,11 @@
     EXPECT_TRUE(choose().has_value());
 }
 
-TEST_F(ServerTableTest, EntriesThatDoNotFillAnEngineShareTheRoomThatItsReportShows)
+TEST_F(ServerTableTest, EntriesThatDoNotOwnAnEngineShareItsReportedFreeSlots)
 {
-    auto spacious = engine("1", "a");
-    spacious.slots = 16;
-    m_table.set_server(spacious, m_now);
+    auto large_engine = engine("1", "a");
+    large_engine.slots = 16;
+    m_table.set_server(large_engine, m_now);
     m_table.set_entries(5);
     m_table.set_roles({ { "1", EngineRole::Helper } });
     Schema::EngineState state {};
@@ -320,7 +320,7 @@
         }
         return sent;
     };
-    // Of nine places beside the reserve, two helpers and the owner take three each.
+    // Of the nine free slots beside the reserve, two helpers and the owner take three each.
     EXPECT_EQ(sent_until_full(), 3);
     m_table.set_roles({});
     state.running += 3;
@@ -329,25 +329,25 @@
     EXPECT_EQ(sent_until_full(), 0);
 }
 
-TEST_F(ServerTableTest, AnEngineThatLoadsOrIsEmptyIsExpectedSoon)
+TEST_F(ServerTableTest, AnEngineThatLoadsOrIsEmptyIsExpectedToServeSoon)
 {
     m_table.set_server(engine("1", "a", 0), m_now);
-    EXPECT_EQ(m_table.next_engine("llm", m_now), std::nullopt);
+    EXPECT_EQ(m_table.time_until_next_engine("llm", m_now), std::nullopt);
     Schema::EngineState state {};
     m_table.on_engine_state("10.0.0.1", state, m_now);
-    auto const empty = m_table.next_engine("llm", m_now);
+    auto const empty = m_table.time_until_next_engine("llm", m_now);
     state.is_busy = true;
     m_table.on_engine_state("10.0.0.1", state, m_now);
-    auto const loading = m_table.next_engine("llm", m_now);
+    auto const loading = m_table.time_until_next_engine("llm", m_now);
     ASSERT_TRUE(empty.has_value() && loading.has_value());
     EXPECT_LT(*loading, *empty);
     state.is_busy = false;
     state.version = 1;
     m_table.on_engine_state("10.0.0.1", state, m_now);
-    EXPECT_EQ(m_table.next_engine("llm", m_now), std::nullopt);
+    EXPECT_EQ(m_table.time_until_next_engine("llm", m_now), std::nullopt);
 }
 
-TEST_F(ServerTableTest, ConnectionsThatFellSilentTogetherCountAsOneFault)
+TEST_F(ServerTableTest, ConnectionsThatStopDeliveringTogetherCountAsOneFault)
 {
     m_table.set_server(engine("1", "a"), m_now);
     for (auto const* request : { "r1", "r2", "r3", "r4" }) {
@@ -366,7 +366,7 @@
     m_now = first_fault + Core::Duration(400);
     auto const again = choose();
     ASSERT_TRUE(again.has_value());
-    // What is sent afterwards and falls silent too is a fault of its own.
+    // A request that is sent afterwards and gets no answer either is a separate fault.
     m_table.on_sent("r5", *again, 900, m_now);
     m_now += Core::Duration(1000);
     m_table.on_ended("1", "r5", ServerOutcome::Unreachable, m_now);
@@ -381,18 +381,18 @@
     ASSERT_TRUE(choice.has_value());
     m_table.on_sent("r1", *choice, 900, m_now);
     m_now += Core::Duration(1000);
-    m_table.on_silent("1", "r1", m_now);
+    m_table.on_no_response("1", "r1", m_now);
     EXPECT_FALSE(choose().has_value());
     m_now += Core::Duration(20);
     m_table.on_heard("1", m_now);
     EXPECT_TRUE(choose().has_value());
-    // A second look at its silence is the same fault.
-    m_table.on_silent("1", "r1", m_now);
+    // A second report that the same request gets no answer counts as the same fault.
+    m_table.on_no_response("1", "r1", m_now);
     EXPECT_TRUE(choose().has_value());
     m_table.on_ended("1", "r1", ServerOutcome::Success, m_now);
 }
 
-TEST_F(ServerTableTest, SilentRequestsHoldNoPlacesThatTheirContinuationsNeed)
+TEST_F(ServerTableTest, RequestsWithoutResponseHoldNoSlotsThatTheirContinuationsNeed)
 {
     m_table.set_server(engine("1", "a"), m_now);
     size_t sent = 0;
@@ -401,7 +401,7 @@
     ASSERT_GT(sent, 1u);
     m_now += Core::Duration(1000);
     for (size_t i = 0; i < sent; ++i)
-        m_table.on_silent("1", "r" + std::to_string(i), m_now);
+        m_table.on_no_response("1", "r" + std::to_string(i), m_now);
     m_now += Core::Duration(400);
     for (size_t i = 0; i < sent; ++i) {
         auto const choice = choose();
@@ -410,7 +410,7 @@
     }
 }
 
-TEST_F(ServerTableTest, BytesOfAnAnswerDoNotMakeAServerReachableThatRefusesConnections)
+TEST_F(ServerTableTest, BytesOfAnAnswerDoNotEndTheSuspensionOfAServerThatRefusesConnections)
 {
     m_table.set_server(engine("1", "a"), m_now);
     for (auto const* request : { "r1", "r2" }) {
@@ -419,7 +419,7 @@
         m_table.on_sent(request, *choice, 900, m_now);
     }
     m_now += Core::Duration(1000);
-    m_table.on_silent("1", "r1", m_now);
+    m_table.on_no_response("1", "r1", m_now);
     m_now += Core::Duration(500);
     auto const again = choose();
     ASSERT_TRUE(again.has_value());
@@ -440,44 +440,44 @@
     plain.address = "10.0.0.9:80";
     plain.slots = 1;
     m_table.set_server(plain, m_now);
-    m_table.set_reach({ "10.0.0.2" });
+    m_table.set_selectable_engines({ "10.0.0.2" });
     EXPECT_EQ(choose().value().id, "2");
     EXPECT_EQ(choose({}, { "2" }).error(), NoServer::NoneUsable);
     EXPECT_EQ(m_table.choose({ .service = "plain" }, m_now).value().id, "p");
-    m_table.set_reach({ "10.0.0.1", "10.0.0.2" });
+    m_table.set_selectable_engines({ "10.0.0.1", "10.0.0.2" });
     EXPECT_EQ(choose({}, { "2" }).value().id, "1");
 }
 
-TEST_F(ServerTableTest, AServiceHasAPlaceAsLongAsOneCanBeChosen)
+TEST_F(ServerTableTest, AServiceHasAFreeSlotAsLongAsAServerCanBeChosen)
 {
-    EXPECT_FALSE(m_table.has_place("llm", m_now));
+    EXPECT_FALSE(m_table.has_free_slot("llm", m_now));
     m_table.set_server(engine("1", "a"), m_now);
-    EXPECT_TRUE(m_table.has_place("llm", m_now));
-    EXPECT_FALSE(m_table.has_place("plain", m_now));
+    EXPECT_TRUE(m_table.has_free_slot("llm", m_now));
+    EXPECT_FALSE(m_table.has_free_slot("plain", m_now));
     int sent = 0;
     for (auto choice = choose(); choice.has_value(); choice = choose())
         m_table.on_sent("r" + std::to_string(++sent), *choice, 900, m_now);
     EXPECT_GT(sent, 0);
-    EXPECT_FALSE(m_table.has_place("llm", m_now));
+    EXPECT_FALSE(m_table.has_free_slot("llm", m_now));
     m_table.on_ended("1", "r1", ServerOutcome::Success, m_now);
-    EXPECT_TRUE(m_table.has_place("llm", m_now));
+    EXPECT_TRUE(m_table.has_free_slot("llm", m_now));
 }
 
-// An entry that neither fills nor helps to fill an engine has no use of each change of its load, once the places that its
-// owner leaves are fewer than the entries that would share them.
-TEST_F(ServerTableTest, AnEngineIsOfUseToThoseThatMaySendThere)
+// An entry that is neither owner nor helper of an engine needs no updates of its load, once the slots beside the owner's reserve are
+// fewer than the entries that would share them.
+TEST_F(ServerTableTest, TheRoleDeterminesWhetherAnEngineMayBeUsed)
 {
     m_table.set_server(engine("1", "a"), m_now);
     m_table.set_entries(20);
-    EXPECT_TRUE(m_table.is_of_use("1"));
+    EXPECT_TRUE(m_table.may_use("1"));
     m_table.set_roles({});
-    EXPECT_FALSE(m_table.is_of_use("1"));
+    EXPECT_FALSE(m_table.may_use("1"));
     m_table.set_roles({ { "1", EngineRole::Owner } });
-    EXPECT_TRUE(m_table.is_of_use("1"));
-    EXPECT_FALSE(m_table.is_of_use("unknown"));
+    EXPECT_TRUE(m_table.may_use("1"));
+    EXPECT_FALSE(m_table.may_use("unknown"));
 }
 
-static Schema::BackendServer born(int64_t started_at_ms, Schema::BackendServer server)
+static Schema::BackendServer started_at(int64_t started_at_ms, Schema::BackendServer server)
 {
     server.started_at_ms = started_at_ms;
     return server;
@@ -493,79 +493,79 @@
     return state;
 }
 
-TEST_F(ServerTableTest, AServerThatStartedAgainHasNoneOfItsPredecessorsFaults)
+TEST_F(ServerTableTest, ANewIncarnationHasNoneOfThePreviousOnesFaults)
 {
-    m_table.set_server(born(1000, engine("1", "a")), m_now);
+    m_table.set_server(started_at(1000, engine("1", "a")), m_now);
     m_table.on_sent("r1", { .id = "1" }, 900, m_now);
     m_table.on_sent("r2", { .id = "1" }, 900, m_now);
     m_table.on_ended("1", "r1", ServerOutcome::Unreachable, m_now);
     EXPECT_FALSE(choose().has_value());
-    m_table.set_server(born(2000, engine("1", "a")), m_now);
+    m_table.set_server(started_at(2000, engine("1", "a")), m_now);
     EXPECT_TRUE(choose().has_value());
-    // What was sent to the one before ends now: that says nothing of this one.
+    // An attempt at the previous incarnation ends now, which says nothing about the present one.
     m_table.on_ended("1", "r2", ServerOutcome::Unreachable, m_now);
     EXPECT_TRUE(choose().has_value());
 }
 
 TEST_F(ServerTableTest, TheSameIncarnationListedAgainKeepsItsFaults)
 {
-    m_table.set_server(born(1000, engine("1", "a")), m_now);
+    m_table.set_server(started_at(1000, engine("1", "a")), m_now);
     m_table.on_sent("r1", { .id = "1" }, 900, m_now);
     m_table.on_ended("1", "r1", ServerOutcome::Unreachable, m_now);
-    m_table.set_server(born(1000, engine("1", "b")), m_now);
+    m_table.set_server(started_at(1000, engine("1", "b")), m_now);
     EXPECT_FALSE(choose().has_value());
-    // Nor does a record that tells no start make another of it.
+    // A list record without a start doesn't count as a new incarnation either.
     m_table.set_server(engine("1", "a"), m_now);
     EXPECT_FALSE(choose().has_value());
 }
 
-TEST_F(ServerTableTest, WhatWasSentToThePredecessorTakesNoPlace)
+TEST_F(ServerTableTest, RequestsSentToThePreviousIncarnationHoldNoSlot)
 {
-    m_table.set_server(born(1000, engine("1", "a")), m_now);
+    m_table.set_server(started_at(1000, engine("1", "a")), m_now);
     for (int i = 0; i < 5; ++i)
         m_table.on_sent("r" + std::to_string(i), { .id = "1" }, 900, m_now);
     EXPECT_EQ(choose().error(), NoServer::AllFull);
-    m_table.set_server(born(2000, engine("1", "a")), m_now);
+    m_table.set_server(started_at(2000, engine("1", "a")), m_now);
     EXPECT_TRUE(choose().has_value());
 }
 
-TEST_F(ServerTableTest, AReportOfThePredecessorTellsNothingOfWhoIsListedNow)
+TEST_F(ServerTableTest, AReportOfThePreviousIncarnationDoesNotApplyToTheListedOne)
 {
-    m_table.set_server(born(1000, engine("1", "a")), m_now);
+    m_table.set_server(started_at(1000, engine("1", "a")), m_now);
     m_table.on_engine_state("10.0.0.1", state_of(1000, 3), m_now);
     EXPECT_EQ(m_table.version_of("1", m_now), 3);
-    m_table.set_server(born(2000, engine("1", "a", 0)), m_now);
+    m_table.set_server(started_at(2000, engine("1", "a", 0)), m_now);
     EXPECT_EQ(m_table.version_of("1", m_now), 0);
     m_table.on_engine_state("10.0.0.1", state_of(2000, 2), m_now);
     EXPECT_EQ(m_table.version_of("1", m_now), 2);
-    // A late word of the one before is not heard.
+    // A delayed report of the previous incarnation is ignored.
     m_table.on_engine_state("10.0.0.1", state_of(1000, 3), m_now);
     EXPECT_EQ(m_table.version_of("1", m_now), 2);
 }
 
-TEST_F(ServerTableTest, AReportOfASuccessorEndsWhatIsKnownAndListedOfThePredecessor)
+TEST_F(ServerTableTest, AReportOfANewIncarnationDropsTheStateOfThePreviousOne)
 {
-    m_table.set_server(born(1000, engine("1", "a", 3)), m_now);
+    m_table.set_server(started_at(1000, engine("1", "a", 3)), m_now);
     m_table.on_sent("r1", { .id = "1" }, 900, m_now);
     m_table.on_ended("1", "r1", ServerOutcome::Unreachable, m_now);
     m_table.on_engine_state("10.0.0.1", state_of(2000, 3), m_now);
     EXPECT_TRUE(choose(3).has_value());
-    // Once its agent is silent, the list speaks of the one before only.
-    m_table.on_agent_gone("10.0.0.1");
+    // Without the agent's report there is only the list record, which is of the previous incarnation.
+    m_table.on_agent_disconnected("10.0.0.1");
     EXPECT_EQ(m_table.version_of("1", m_now), 0);
     EXPECT_FALSE(choose().has_value());
-    // A heartbeat of the one before makes nobody younger.
-    m_table.set_server(born(1000, engine("1", "b", 3)), m_now);
+    // A heartbeat of the previous incarnation doesn't replace the latest one.
+    m_table.set_server(started_at(1000, engine("1", "b", 3)), m_now);
     EXPECT_EQ(m_table.version_of("1", m_now), 0);
-    m_table.set_server(born(2000, engine("1", "a", 2)), m_now);
+    m_table.set_server(started_at(2000, engine("1", "a", 2)), m_now);
     EXPECT_EQ(m_table.version_of("1", m_now), 2);
 }
 
-TEST_F(ServerTableTest, AnAgentThatGoesOnTellingOfAnEarlierStartIsBelievedInTheEnd)
+TEST_F(ServerTableTest, AnAgentThatKeepsReportingAnEarlierStartIsTrustedEventually)
 {
-    m_table.set_server(born(2000, engine("1", "a", 3)), m_now);
+    m_table.set_server(started_at(2000, engine("1", "a", 3)), m_now);
     m_table.on_engine_state("10.0.0.1", state_of(2000, 3), m_now);
-    // Its clock was set back between.
+    // The clock of the instance was set back between the two starts.
     for (int i = 0; i < 10; ++i) {
         m_now += Core::Duration(1000);
         m_table.on_engine_state("10.0.0.1", state_of(1000, 2), m_now);
@@ -573,16 +573,16 @@
     EXPECT_EQ(m_table.version_of("1", m_now), 2);
 }
 
-TEST_F(ServerTableTest, WhatTheListSaysOfALeavingPredecessorKeepsNobodyFromItsSuccessor)
+TEST_F(ServerTableTest, AListRecordOfALeavingIncarnationDoesNotExcludeTheNextOne)
 {
-    auto leaving = born(1000, engine("1", "a"));
+    auto leaving = started_at(1000, engine("1", "a"));
     leaving.is_draining = true;
     m_table.set_server(leaving, m_now);
     m_table.on_engine_state("10.0.0.1", state_of(1000, 1), m_now);
     EXPECT_EQ(choose().error(), NoServer::NoneUsable);
     m_table.on_engine_state("10.0.0.1", state_of(2000, 1), m_now);
     EXPECT_TRUE(choose().has_value());
-    // A list that is read by its newest records may never show the successor's first one.
+    // A list of which only the newest records are read may never show the successor's first record.
     m_table.set_server(leaving, m_now);
     EXPECT_TRUE(choose().has_value());
     leaving.started_at_ms = 2000;
@@ -590,32 +590,32 @@
     EXPECT_EQ(choose().error(), NoServer::NoneUsable);
 }
 
-TEST_F(ServerTableTest, AServerThatIsClosedIsTakenForFullAndOneThatIsAvoidedGoesLast)
+TEST_F(ServerTableTest, TemporarilyUnavailableServersCountAsFullAndAvoidedOnesAreChosenLast)
 {
     m_table.set_server(engine("1", "a"), m_now);
     m_table.set_server(engine("2", "b"), m_now);
-    ServerNeeds needs { .service = "llm" };
-    needs.prompt_tokens = 900;
-    EXPECT_EQ(m_table.choose(needs, m_now)->id, "1");
-    needs.avoided = { "1" };
-    EXPECT_EQ(m_table.choose(needs, m_now)->id, "2");
-    needs.avoided = { "1", "2" };
-    EXPECT_EQ(m_table.choose(needs, m_now)->id, "1") << "one is better than none";
-    needs.closed = { "1" };
-    EXPECT_EQ(m_table.choose(needs, m_now)->id, "2");
-    needs.closed = { "1", "2" };
-    EXPECT_EQ(m_table.choose(needs, m_now).error(), NoServer::AllFull) << "they are open again soon";
+    ServerRequirements requirements { .service = "llm" };
+    requirements.prompt_tokens = 900;
+    EXPECT_EQ(m_table.choose(requirements, m_now)->id, "1");
+    requirements.avoided = { "1" };
+    EXPECT_EQ(m_table.choose(requirements, m_now)->id, "2");
+    requirements.avoided = { "1", "2" };
+    EXPECT_EQ(m_table.choose(requirements, m_now)->id, "1") << "an avoided server is better than none";
+    requirements.temporarily_unavailable = { "1" };
+    EXPECT_EQ(m_table.choose(requirements, m_now)->id, "2");
+    requirements.temporarily_unavailable = { "1", "2" };
+    EXPECT_EQ(m_table.choose(requirements, m_now).error(), NoServer::AllFull) << "temporarily unavailable servers count as full";
 }
 
-TEST_F(ServerTableTest, WhatMayEndItsServerGoesWhereTheFewestRun)
+TEST_F(ServerTableTest, ARequestThatMayTerminateItsServerGoesToTheLeastLoadedOne)
 {
     m_table.set_server(engine("1", "a"), m_now);
     m_table.set_server(engine("2", "b"), m_now);
     m_table.on_sent("r", { "1" }, 100, m_now);
     m_table.on_first_event("1", "r", m_now);
-    ServerNeeds needs { .service = "llm" };
-    needs.prompt_tokens = 900;
-    EXPECT_EQ(m_table.choose(needs, m_now)->id, "1");
-    needs.wants_idle = true;
-    EXPECT_EQ(m_table.choose(needs, m_now)->id, "2");
+    ServerRequirements requirements { .service = "llm" };
+    requirements.prompt_tokens = 900;
+    EXPECT_EQ(m_table.choose(requirements, m_now)->id, "1");
+    requirements.prefers_idle_servers = true;
+    EXPECT_EQ(m_table.choose(requirements, m_now)->id, "2");
 }
