--- a/Libraries/LibDistribution/ChunkStore.h
+++ b/Libraries/LibDistribution/ChunkStore.h
@@ -13,10 +13,12 @@
 
 namespace Distribution {
 
-/// A chunk on its way in. It is hashed slice by slice as it arrives, so that the loop keeps turning.
+/// A chunk that is being received. Each slice is hashed as it arrives, so that no single iteration of the event loop has to hash
+/// the whole chunk.
 class IncomingChunk {
 public:
     void append(std::string_view slice);
+    /// Bytes received so far.
     size_t size() const { return m_bytes.size(); }
 
 private:
@@ -25,28 +27,31 @@
     std::string m_bytes;
 };
 
-/// The verified chunks that an instance holds in memory, by digest. Nothing unverified ever gets in.
+/// The chunks that an instance holds in memory, keyed by their SHA-256 digest. Only chunks whose bytes match their digest are added.
 class ChunkStore {
 public:
     enum class AddResult {
         Added,
         AlreadyHeld,
-        /// The bytes do not have the digest; they were dropped.
+        /// The digest of the bytes differs from the expected one. Nothing was added.
         Corrupt,
     };
 
+    /// Verifies the received bytes against `digest` and moves them into the store.
     AddResult add(std::string const& digest, IncomingChunk&);
 
-    /// The bytes, or nothing. They stay valid for as long as the pointer is kept.
+    /// Returns the chunk's bytes, or nullptr if the store does not hold the chunk.
+    /// The bytes stay valid as long as the pointer is kept, also after keep_only() has removed the chunk.
     std::shared_ptr<std::string const> find(std::string const& digest) const;
     bool holds(std::string const& digest) const { return m_chunks.contains(digest); }
 
-    /// Numbers of the chunks of a version that are held.
+    /// Returns the indices into the version's list of chunks of those that the store holds, ascending.
     std::vector<int64_t> held_of(Schema::VersionSpec const&) const;
 
-    /// Drops every chunk that none of the versions has.
+    /// Removes every chunk that belongs to none of the versions.
     void keep_only(std::vector<Schema::VersionSpec const*> const&);
 
+    /// Total size of the held chunks in bytes.
     size_t bytes() const { return m_bytes; }
     size_t count() const { return m_chunks.size(); }
 
--- a/Libraries/LibDistribution/EngineControl.h
+++ b/Libraries/LibDistribution/EngineControl.h
@@ -8,45 +8,54 @@
 
 namespace Distribution {
 
-/// Decides when the engine beside the agent is ordered to load which weights, and what it may be said to serve.
+/// Decides when an agent orders its engine to load which weights, and which weights the engine is known to serve.
 ///
-/// An order goes out only for a set that is complete and verified, with a fence above every one seen:
-/// those that the engine reports included, for the agent may have been restarted.
+/// An order is sent only when all chunks of the weights are held and verified. Its fence is higher than every fence seen before,
+/// including those in the engine's status: after a restart the agent does not know which fences it has used.
 class EngineControl {
 public:
-    /// A load that may be ordered now.
+    /// An order to load weights. The engine refuses an order whose fence is not higher than its last one.
     struct Order {
         int64_t fence { 0 };
         Schema::Weights weights;
     };
 
-    /// The weights that the engine should serve; nothing if the instance is out of every rollout.
-    /// `offset` is the configuration offset at which this was decided.
+    /// Sets the weights that the engine should serve; std::nullopt if the instance belongs to no rollout.
+    /// `offset` is the offset in the configuration log at which this was decided. Fences grow with it.
     void set_wanted(std::optional<Schema::Weights>, int64_t offset);
 
-    /// The wanted set became complete and verified, or is no longer complete.
+    /// Records whether all chunks of the weights with this digest are held and verified.
     void set_complete(std::string const& digest, bool is_complete);
 
-    /// The engine answered a status call that was sent at `sent_at`.
+    /// Records the engine's answer to a status request that was sent at `sent_at`. The status is ignored if it was requested before the
+    /// last order was answered, or if an order is in flight.
     void on_status(Schema::EngineStatus const&, Core::Time sent_at);
+    /// Discards the last status: the engine may have restarted with nothing loaded.
     void on_unreachable();
 
-    /// The engine's answer to an order: whether it took it.
+    /// Records whether the engine accepted the order with this fence. A lost answer is recorded as not accepted.
+    /// The next order is sent a second later at the earliest.
     void on_order_answered(int64_t fence, bool is_accepted, Core::Time now);
 
-    /// The order to send now, if any. `in_flight` counts requests that run on the engine: none is cut by a switch.
+    /// Returns the order to send now, or std::nullopt if there is none. `in_flight` is the number of requests that run on the engine:
+    /// no order is returned before they have ended. An engine that serves something gets an order only if `may_switch` is true.
     std::optional<Order> step(Core::Time now, size_t in_flight, bool may_switch);
 
-    /// What the engine serves for certain: it reported it after every order that was sent. Nothing while that is in doubt.
+    /// Returns the weights that the engine reported after the last order was answered. Returns std::nullopt while an order is in flight,
+    /// the engine is loading, or an order that was not accepted may still take effect.
     std::optional<Schema::Weights> serving() const;
 
-    /// True from the moment a switch is due until the order is answered: no request may start meanwhile.
+    /// True from the time a switch is due until its order is answered. No request may be started on the engine during that time.
     bool is_switching() const { return m_is_draining_for_switch || m_order_in_flight; }
 
+    /// Whether the engine serves the wanted weights.
     bool is_ready() const;
+    /// The highest fence that was sent or reported.
     int64_t fence() const { return m_fence; }
+    /// Number of orders that were refused or had no answer.
     uint64_t failed_orders() const { return m_failed_orders; }
     bool has_status() const { return m_status.has_value(); }
+    /// The last accepted status, or nullptr if there is none since the last order or the last failed status request.
     Schema::EngineStatus const* status() const { return m_status ? &*m_status : nullptr; }
 
 private:
@@ -57,19 +66,21 @@
     int64_t m_fence { 0 };
     bool m_order_in_flight { false };
     bool m_is_draining_for_switch { false };
-    // An order whose answer was lost may still be at work in the engine.
+    // An order that was not accepted may still take effect: its answer may have been lost.
     bool m_is_in_doubt { false };
     uint64_t m_failed_orders { 0 };
     Core::Time m_not_before { 0 };
     Core::Time m_answered_at { 0 };
 };
 
-/// Whether an instance may take its copy out of service to switch versions.
-/// Of the instances that a rollout has, at most `slack` of those ranked before this one may still be without
-/// the new version: thus at least all but `slack` serve, the old version or the new.
+/// Returns whether an instance may stop serving to switch to the rollout's new version.
+/// `ranked` lists the rollout's instances in the order in which they switch, `ready` those that serve the new version.
+/// Fewer than `slack` of the instances ranked before `self` may still be without the new version. Thus at most `slack` instances are out of
+/// service at once, and all others serve either the old version or the new one.
+/// An instance that is not in `ranked` may switch only when all in `ranked` are ready.
 bool may_switch(std::string const& self, std::vector<std::string> const& ranked, std::vector<std::string> const& ready, size_t slack);
 
-/// How many copies of a rollout may be out of service at once during a switch: a quarter, at least one.
+/// Returns how many of a rollout's instances may be out of service at once during a switch: a quarter, but at least one.
 size_t switch_slack(size_t replicas);
 
 }
--- a/Libraries/LibDistribution/GoalOrder.h
+++ b/Libraries/LibDistribution/GoalOrder.h
@@ -6,33 +6,35 @@
 
 namespace Distribution {
 
-/// How far the transfer of a version is when a newer one is named.
+/// The state of a version's transfer at the time when the operator names a newer version in the log records.
 struct TransferStand {
-    /// The version's manifest is known here or at an instance that it can be had from.
+    /// This instance, or one that it can read chunks from, knows the version's manifest.
     bool has_begun { false };
     bool is_complete { false };
-    /// Chunks of the version, and those of them that are here.
+    /// Number of the version's chunks, and of those that this instance holds.
     size_t chunks { 0 };
     size_t held { 0 };
-    /// The other instances hold all of the newer version between them, so that it can be had without the origin.
+    /// Every chunk of the newer version is held by some other instance, so that the newer version can be fetched without the origin.
     bool is_newer_at_peers { false };
+    /// Time since the version was named.
     Core::Duration since_named { 0 };
-    /// Time from the naming within which the version must be served.
+    /// Deadline for serving the version, as a time since it was named.
     Core::Duration bound { 0 };
 };
 
-/// Whether a version's transfer goes on to its end before that of a newer version begins.
+/// Returns whether a version's transfer should be completed before the transfer of a newer version begins.
 ///
-/// The older version's bound comes first, and its chunks may be all that can be had: the origin may be gone by the time
-/// that it is asked for the newer ones. Past half of its bound an older version would only hold the newer one up, unless
-/// nearly all of it is here and the newer one may not be had at all: then it has another quarter.
+/// The older version's deadline is the earlier one, and its chunks may be the only ones available: the origin may be unreachable by the
+/// time the newer ones are requested from it. Once half of the time to its deadline has passed, the older version would only delay the
+/// newer one. It gets another quarter of that time if at least three quarters of its chunks are held and the newer version may be
+/// unavailable.
 inline bool is_worth_finishing(TransferStand const& stand)
 {
     if (!stand.has_begun || stand.is_complete)
         return false;
     if (stand.since_named < stand.bound / 2)
         return true;
-    // What is left then takes a small part of the time that the rest took.
+    // The missing quarter takes a small part of the time that the held chunks took.
     bool const is_nearly_whole = stand.chunks > 0 && stand.held * 4 >= stand.chunks * 3;
     return is_nearly_whole && !stand.is_newer_at_peers && stand.since_named < stand.bound * 3 / 4;
 }
--- a/Libraries/LibDistribution/Neighbours.h
+++ b/Libraries/LibDistribution/Neighbours.h
@@ -6,14 +6,16 @@
 
 namespace Distribution {
 
+/// An instance that may become a neighbour, and where it runs.
 struct NeighbourCandidate {
     std::string id;
     std::string failure_domain;
     std::string region;
 };
 
-/// The peers that an instance keeps a link to for a version: about half near (the same failure domain first),
-/// half anywhere, by rendezvous hashing. `widen` asks for that many more, when it is starved.
+/// Returns the ids of the peers that an instance keeps a link to in order to exchange chunks: `count` + `widen` of them, or all if there
+/// are fewer. Half are the closest (same failure domain first, then same region), the others are from anywhere; both halves are chosen by
+/// rendezvous hashing. `widen` is above zero when the neighbours so far have had nothing to offer.
 std::vector<std::string> choose_neighbours(NeighbourCandidate const& self, std::vector<NeighbourCandidate> const& others, size_t count, size_t widen);
 
 }
--- a/Libraries/LibDistribution/PeerGroup.h
+++ b/Libraries/LibDistribution/PeerGroup.h
@@ -8,13 +8,14 @@
 
 namespace Distribution {
 
-/// Instances that exchange a version's chunks among themselves and take turns at switching to it. So many know each other
-/// by links; what an instance is told and tells grows with the group and not with the fleet.
+/// Up to this many instances form one peer group: the instances that exchange a version's chunks and take turns at switching to it.
+/// The members know each other over links, so the messages that each sends and receives grow with the group and not with the fleet.
 inline constexpr size_t largest_whole_group = 48;
 
-/// Of those that are to hold a version, the group of the instances in a failure domain: all where they are few, else those
-/// of the same region. Each instance of a group has the same group.
-/// @param regions the region of each failure domain; one that is not named is a region of its own.
+/// Returns the peer group of the instances in a failure domain: all of `peers` if there are at most `largest_whole_group`, otherwise those
+/// in the same region. The result is the same for every member of a group.
+/// @param peers the instances that should hold the version.
+/// @param regions the region of each failure domain; a domain that is missing here is a region of its own.
 std::vector<Schema::GoalPeer> peer_group(std::vector<Schema::GoalPeer> const& peers, std::string const& failure_domain, std::map<std::string, std::string> const& regions);
 
 }
--- a/Libraries/LibDistribution/ReadRanks.h
+++ b/Libraries/LibDistribution/ReadRanks.h
@@ -8,31 +8,38 @@
 
 namespace Distribution {
 
-/// The order in which instances may read each chunk of a version from the origin and from far away, the same everywhere.
+/// Ranks the instances for reading each chunk of a version from the origin, and for reading it from another region. All instances compute
+/// the same order, and the rank tells this instance how long to wait for those before it.
 ///
-/// A few seeders, chosen by rendezvous hashing, come first for the origin: caches if there are any, else the instances
-/// that want the version. Chunks are dealt among them in turn, so that all have as many to read and none is left to read
-/// alone at the end, which fills the origin's link only in part. Whoever comes behind stands in for all before, in groups
-/// that double in size, with the chunks dealt within a group in the same way.
+/// For the origin, a few seeders chosen by rendezvous hashing come first: caches if there are any, otherwise the instances that want the
+/// version. Chunks are assigned to the seeders round-robin, so that all have equally many to read: a seeder that read alone at the end
+/// would use only part of the origin's link. The instances after them are backups for all before them. They form groups that double in
+/// size, and within a group chunks are assigned round-robin as well.
 class ReadRanks {
 public:
+    /// @param self the id of this instance.
+    /// @param targets the ids of the instances that want the version.
+    /// @param seeders how many instances read from the origin at once.
     ReadRanks(Schema::VersionSpec const&, std::string self, std::vector<std::string> targets, size_t seeders);
 
     void set_targets(std::vector<std::string> targets);
+    /// Sets the instances of this region, including this one. If empty, no instance counts as being in another region.
     void set_near(std::vector<std::string> const& near);
+    /// Sets the instances that keep a copy of the version for others without serving it.
     void set_caches(std::vector<std::string> caches);
 
-    /// This instance's rank for reading a chunk from the origin; 0 reads it at once.
+    /// This instance's rank for reading a chunk from the origin. Rank 0 reads it without waiting.
     size_t origin_rank(size_t chunk) const { return m_origin_ranks[chunk]; }
-    /// Whether a peer and this instance are caches that stand in for the same lost readers of the origin.
+    /// Whether this instance and the peer are both caches in the same backup group, so that they replace the same readers of the origin.
     bool stands_in_beside(std::string const& peer) const;
-    /// The best rank of this instance for any chunk; 0 for a seeder.
+    /// This instance's lowest rank for any chunk; 0 for a seeder.
     size_t best_origin_rank() const { return m_best_origin_rank; }
 
-    /// This instance's rank among those near by for reading a chunk from far away.
+    /// This instance's rank, among those of its region, for reading a chunk from another region. Rank 0 reads it without waiting.
     size_t far_rank(size_t chunk) const { return m_far_ranks[chunk]; }
 
     bool is_first_target() const { return !m_targets.empty() && m_targets.front() == m_self; }
+    /// Whether regions are ignored, because set_near() has set none.
     bool are_all_near() const { return m_near.empty(); }
     bool is_near(std::string const& instance) const { return m_near.contains(instance); }
     bool is_cache(std::string const& instance) const;
@@ -40,7 +47,7 @@
 
 private:
     void rank_origin_reads();
-    /// Where the group of those begins that stand in beside the one at a position; 0 for the seeders.
+    /// Returns the position in `m_readers` of the first member of the group that contains `position`; 0 for the seeders.
     size_t group_begin(size_t position) const;
     size_t position_of(std::string const& reader) const;
     size_t rank_at(size_t position, size_t chunk) const;
@@ -54,7 +61,7 @@
     std::vector<std::string> m_targets;
     std::set<std::string> m_near;
     std::vector<std::string> m_caches;
-    // All who may read from the origin, the seeders first.
+    // All instances that may read from the origin, the seeders first.
     std::vector<std::string> m_readers;
     size_t m_seeder_count { 1 };
     size_t m_best_origin_rank { 0 };
--- a/Libraries/LibDistribution/ReadTimes.h
+++ b/Libraries/LibDistribution/ReadTimes.h
@@ -6,15 +6,17 @@
 
 namespace Distribution {
 
-/// Running means of how long reads take here.
+/// Exponentially weighted mean durations of this instance's chunk reads, to detect slow reads and a slow link.
 class ReadTimes {
 public:
-    /// A read ended. `bytes_lasted`: from its first bytes to its last; `reads`: those that shared this instance's link.
+    /// Records a completed read. `took` is its whole duration, `bytes_lasted` the time from its first bytes to its last if known, and
+    /// `reads` the number of reads that shared this instance's link, including this one.
     void on_fetched(Core::Duration took, std::optional<Core::Duration> bytes_lasted, size_t reads);
 
-    /// A read has taken much longer than others do.
+    /// Whether a read that has run for this time has taken at least twice as long as the mean. Always false before the first completed
+    /// read.
     bool is_slow(Core::Duration lasted) const;
-    /// One read alone on this instance's link takes longer than this from its first bytes to its last.
+    /// Whether a read that had this instance's link to itself would take longer than this, on average, from its first bytes to its last.
     bool is_link_slower_than(Core::Duration) const;
 
 private:
--- a/Libraries/LibDistribution/RolloutTally.h
+++ b/Libraries/LibDistribution/RolloutTally.h
@@ -11,22 +11,25 @@
 
 namespace Distribution {
 
-/// What an entry knows of every rollout's progress, from its agents' reports.
+/// The progress of every rollout, as an entry computes it from the reports of its agents.
 class RolloutTally {
 public:
-    /// The configuration moved on: the time of acceptance of new revisions is taken here.
+    /// Applies a new state of the configuration. A rollout's revision that appears for the first time starts its time measurements at
+    /// `now`, and rollouts that were removed are dropped.
     void on_configuration(Configuration::Fold const&, Core::Time now);
 
+    /// Applies an agent's report. `incarnation` identifies the start of the agent: the byte counters in its reports begin anew with each.
     void on_report(std::string const& instance, int64_t incarnation, Schema::Report const&, Core::Time now);
-    /// The instance no longer answers. The bytes that it read stay counted.
+    /// Removes an instance that no longer answers. The bytes that it has read stay in the totals.
     void on_gone(std::string const& instance);
 
-    /// Instances that serve this revision of a rollout, sorted.
+    /// Returns the ids of the instances that serve the current revision of a rollout, sorted. Empty if there is no such rollout.
     std::vector<std::string> ready(std::string const& rollout) const;
 
+    /// Returns the status of a rollout, or std::nullopt if there is no such rollout.
     std::optional<Schema::RolloutStatus> status(std::string const& rollout) const;
 
-    /// Grows whenever some status may have changed.
+    /// Increases whenever the status of any rollout may have changed.
     uint64_t generation() const { return m_generation; }
 
 private:
@@ -40,11 +43,12 @@
         int64_t wanted { 0 };
         int64_t version_bytes { 0 };
         Core::Time accepted_at { 0 };
+        // Time from acceptance until a quarter, half and all of the wanted instances were ready.
         std::optional<Core::Duration> to_quarter;
         std::optional<Core::Duration> to_half;
         std::optional<Core::Duration> to_all;
         std::map<std::string, Schema::Progress> progress;
-        // By instance and incarnation, so that neither a death nor a restart loses what was read.
+        // Keyed by instance and incarnation, so that the bytes read stay counted after an instance has terminated or restarted.
         std::map<std::pair<std::string, int64_t>, Bytes> bytes;
     };
 
--- a/Libraries/LibDistribution/Source.h
+++ b/Libraries/LibDistribution/Source.h
@@ -5,7 +5,7 @@
 
 namespace Distribution {
 
-/// Where a chunk is read from: a peer, or the origin if `peer` is empty.
+/// Where a chunk is read from: the instance with the id `peer`, or the origin if `peer` is empty.
 struct Source {
     std::string peer;
 
@@ -13,14 +13,15 @@
     bool operator<(Source const& other) const { return peer < other.peer; }
 };
 
+/// Why reading a chunk from a source failed.
 enum class FetchFailure {
-    /// The source refused because it serves as many as it may.
+    /// The source refused the read because it already serves as many reads as it may.
     Busy,
-    /// The bytes did not have the chunk's digest.
+    /// The received bytes did not match the chunk's digest.
     Corrupt,
     /// The source does not hold the chunk.
     Missing,
-    /// The source did not answer, or broke off.
+    /// The source did not answer, or the connection ended before the last byte.
     Unreachable,
 };
 
--- a/Libraries/LibDistribution/StagedLoad.h
+++ b/Libraries/LibDistribution/StagedLoad.h
@@ -11,81 +11,94 @@
 
 namespace Distribution {
 
-/// Lay a verified chunk beside the engine.
+/// Write a verified chunk to the staging area of the engine.
 struct StageChunk {
     size_t chunk { 0 };
 };
 
-/// Read a chunk back from beside the engine, and compare it with its digest.
+/// Read a chunk back from the engine's staging area, and compare it with its digest.
 struct ReadBackChunk {
     size_t chunk { 0 };
 };
 
-/// Have the engine load what lies beside it.
+/// Order the engine to load the staged chunks.
 struct OrderLoad {
-    /// Nothing if the engine does not tell its sequence.
+    /// The engine accepts the order only while its sequence number of orders has this value. Empty if the engine reports no sequence
+    /// number.
     std::optional<int64_t> expected_sequence;
     Platform::LoadManner manner { Platform::LoadManner::WaitForRunning };
 };
 
 using LoadAction = std::variant<StageChunk, ReadBackChunk, OrderLoad>;
 
+/// Limits and timeouts of a StagedLoad. Durations are in milliseconds.
 struct StagedLoadSettings {
+    /// Maximum number of stage and read-back calls in flight.
     size_t calls_at_once { 4 };
-    /// A chunk that was read back longer ago than this may have turned bad since.
+    /// A read-back older than this no longer counts, since the staged chunk may have become corrupt since then.
     Core::Duration read_back_holds { 1500 };
-    /// Wait for a report that shows what became of an order, from its answer, or from its sending if it had none.
+    /// How long to wait for a report that shows whether an order took effect, counted from the answer to the order, or from its sending
+    /// if there was no answer.
     Core::Duration order_patience { 1500 };
-    /// Time that entries are given to hear that an engine takes no more.
+    /// Time for the entries to receive the message that an engine accepts no more requests.
     Core::Duration notice { 150 };
-    /// Requests at an engine that takes no more may end by themselves for this long, where the rest may be cut.
+    /// How long the requests on a draining engine may run to their end before the rest are evicted, if eviction is allowed.
     Core::Duration drain_patience { 700 };
-    /// With so few left, the rest is cut sooner.
+    /// If at most `few_running` requests are left, they are evicted after `few_patience` already.
     int64_t few_running { 5 };
     Core::Duration few_patience { 300 };
 };
 
-/// Whether and how an engine that serves may be taken out of service for a load.
+/// Whether and how an engine that serves a version may be taken out of service to load another one.
 struct SwitchTerms {
+    /// The engine may be drained.
     bool may_switch { true };
+    /// Requests that still run after the drain timeout may be evicted from the engine.
     bool may_evict { false };
 };
 
-/// Whether a report is of an earlier incarnation of the engine than the last one, and thus came late.
+/// Returns whether a report is from an earlier incarnation of the engine than the last report, that is, whether it arrived late.
+/// Returns false if either report lacks the engine's start time.
 bool is_of_earlier_incarnation(Platform::EngineReport const&, std::optional<Platform::EngineReport> const& last);
 
-/// Decides what is laid beside the engine and when the engine is ordered to take it.
+/// Decides which chunks of one version are written to an engine's staging area, and when the engine is ordered to load them.
 ///
-/// An order goes out only when every chunk of one version lies there and was read back and found right just before.
-/// An order that nobody answered may have been taken: the engine's report tells, and the sequence that the next
-/// order expects keeps two orders from both taking effect. An engine may start again under its identity: nothing that was
-/// answered before says anything then, but what was laid beside it may still lie there.
+/// An order is sent only when every chunk of the version is staged and was read back with the right digest within the last
+/// `read_back_holds`. An order without an answer may have been accepted: the engine's next report shows it, and the sequence number that
+/// the next order expects keeps two orders from both taking effect. An engine may restart under its identity: answers from before the
+/// restart then no longer count, but the staged chunks may still be there.
 class StagedLoad {
 public:
+    /// @param chunks the number of the version's chunks.
     StagedLoad(int64_t version, size_t chunks, StagedLoadSettings);
 
     int64_t version() const { return m_version; }
 
-    /// The chunk's bytes are at hand, verified.
+    /// Records that this instance holds the chunk's verified bytes, so that the chunk can be staged.
     void on_held(size_t chunk);
+    /// Records the result of a StageChunk action.
     void on_staged(size_t chunk, bool is_done);
-    /// The chunk was read back: whether it is the version's.
+    /// Records the result of a ReadBackChunk action: whether the bytes had the right digest. A chunk that had not is staged again.
     void on_read_back(size_t chunk, bool is_right, Core::Time now);
-    /// A report of an earlier incarnation than the last one counts as none; one that comes after none is believed in any case,
-    /// for the engine's clock may have been set back.
+    /// Applies an engine's report. `layers` is the number of layers of the model, all of which the engine must hold to serve a version.
+    /// A report of an earlier incarnation than the last report is treated like on_unreachable(). The next one is accepted in any case,
+    /// since the engine's clock may have been set back.
     void on_report(Platform::EngineReport const&, int64_t layers, Core::Time now);
+    /// Discards the last report. No order is sent before the next one.
     void on_unreachable();
+    /// Records the result of an OrderLoad action.
     void on_ordered(Platform::OrderOutcome, Core::Time now);
 
-    /// What to do now.
+    /// Returns the actions to start now. The caller reports the result of each through on_staged(), on_read_back() or on_ordered().
     std::vector<LoadAction> step(Core::Time now, SwitchTerms = {});
 
-    /// The engine reports all layers of this version.
+    /// Whether the engine reports that it holds all layers of this version or of a newer one.
     bool is_serving() const { return m_is_serving; }
-    /// No new request should reach the engine: it is about to be ordered, or an order is under way.
+    /// Whether no new request should be sent to the engine, because it is being drained for an order or an order is in progress.
     bool is_switching() const { return m_draining_since.has_value() || m_is_ordering || m_ordered_at.has_value(); }
+    /// Number of chunks whose verified bytes this instance holds.
     size_t held_count() const;
-    /// Chunks that were found bad when they were read back.
+    /// Number of read-backs that found a wrong digest.
     uint64_t bad_count() const { return m_bad; }
 
 private:
@@ -93,12 +106,13 @@
         bool is_held { false };
         bool is_staged { false };
         bool is_in_call { false };
-        /// The call went to an earlier incarnation.
+        /// The engine has restarted since the call was sent.
         bool is_call_overtaken { false };
+        /// When the chunk was last read back with the right digest.
         std::optional<Core::Time> right_at;
     };
 
-    /// Whether the engine has started again since it was last heard of.
+    /// Whether the report shows that the engine has restarted since its last report.
     bool is_restart(Platform::EngineReport const&) const;
     void begin_incarnation();
     bool is_complete() const;
@@ -112,13 +126,14 @@
     std::vector<Chunk> m_chunks;
     size_t m_calls { 0 };
     std::optional<Platform::EngineReport> m_report;
-    // What the engine last told of its start, also where it has not been heard of since.
+    // The start time in the engine's last report that had one. It is kept while the engine is unreachable.
     std::optional<int64_t> m_started_at_ms;
     bool m_is_serving { false };
     bool m_is_ordering { false };
-    // The order that is under way went to an earlier incarnation.
+    // The engine has restarted since the order in flight was sent.
     bool m_is_order_overtaken { false };
     Core::Time m_order_sent_at { 0 };
+    // Start of the wait for a report that shows whether the last order took effect; empty if there is no such wait.
     std::optional<Core::Time> m_ordered_at;
     std::optional<Core::Time> m_draining_since;
     uint64_t m_bad { 0 };
--- a/Libraries/LibDistribution/Transfer.h
+++ b/Libraries/LibDistribution/Transfer.h
@@ -17,89 +17,96 @@
 
 namespace Distribution {
 
-/// Start reading a chunk.
+/// Start reading a chunk from a source.
 struct Fetch {
+    /// Identifies the read in on_progress(), on_fetched(), on_failed() and CancelFetch.
     uint64_t id { 0 };
     size_t chunk { 0 };
     Source source;
-    /// The chunk is being read from another source already, which is slow.
+    /// The chunk is already being read from another source, which is slow.
     bool is_duplicate { false };
 };
 
-/// Stop a read that is no longer wanted.
+/// Stop a read that has stalled or whose chunk has arrived from another source.
 struct CancelFetch {
     uint64_t id { 0 };
 };
 
 using TransferAction = std::variant<Fetch, CancelFetch>;
 
+/// Limits and timeouts of a Transfer. Durations are in milliseconds.
 struct TransferSettings {
     Schema::Strategy strategy { Schema::Strategy::Swarm };
-    /// Chunks read at once, from peers and from the origin.
+    /// Maximum number of reads in flight in all, and of those from the origin.
     size_t fetches_in_flight { 4 };
     size_t origin_fetches_in_flight { 1 };
-    /// Chunks read at once while some cache holds chunks: their links are wide, so few reads fill this instance's own, and
-    /// more would only queue there before its requests and answers. 0: as from peers.
+    /// Maximum number of reads in flight while some cache holds chunks. Caches have fast links, so that few reads fill this instance's
+    /// link; more would only queue there in front of its requests and answers. If 0, `fetches_in_flight` applies.
     size_t fetches_with_caches { 0 };
-    /// Where a chunk's bytes take longer than this from the first to the last, divided by the reads that share this
-    /// instance's link, the link is narrow, and one read at a time fills it. 0 sets no such limit.
+    /// If a chunk takes on average longer than this from its first bytes to its last, divided by the number of reads that share this
+    /// instance's link, the link counts as slow, and chunks are read one at a time. If 0, no link counts as slow.
     Core::Duration slow_link { 0 };
-    /// Chunks read from peers at once while this instance still owes chunks of the origin to the others: these
-    /// reads share its link with what everybody waits for. 0 sets no limit.
+    /// Maximum number of reads from peers while this instance still has to read chunks from the origin for the others: both share its link,
+    /// and all others wait for the chunks from the origin. If 0, there is no such limit.
     size_t peer_fetches_while_seeding { 0 };
-    /// Instances that share the reading from the origin.
+    /// Number of instances that divide the reads from the origin among themselves.
     size_t seeders { 4 };
-    /// Wait before the second in rank asks the origin for a chunk that no neighbour holds; it grows by as much each time
-    /// that the rank doubles.
+    /// How long the instance with rank 1 waits before it reads a chunk that no neighbour holds from the origin. The wait grows by the same
+    /// time whenever the rank doubles.
     Core::Duration origin_patience { 2000 };
-    /// The rarest of this many chunks drawn at random is read next; 0 draws all of them. With all, everybody asks the
-    /// few holders of the newest chunk, and the other uplinks idle.
+    /// The next chunk to read from a peer is the one with the fewest holders in a random sample of this size. If 0, the sample is all
+    /// chunks: then all instances request the newest chunk from its few holders, and the uplinks of the other instances are idle.
     size_t rarity_sample { 0 };
-    /// The same before a far peer is asked for a chunk that no near one holds.
+    /// The corresponding wait before a chunk that no peer in this region holds is read from a peer in another region.
     Core::Duration far_patience { 400 };
-    /// A source that keeps failing is left alone for twice as long each time, up to this.
+    /// Longest backoff from a peer. The backoff doubles with each failure in a row.
     Core::Duration longest_fault_wait { 16000 };
-    /// Silence after which a read is given up and its source left alone for a while.
+    /// A read that has received nothing for this time is cancelled, and its source is backed off from.
     Core::Duration stall { 2000 };
-    /// The same for a read of the origin, which says nothing before the whole chunk is there and sends to many at once.
-    /// 0: as for any other.
+    /// The corresponding time for a read from the origin, which reports no progress before the whole chunk has arrived, and which sends to
+    /// many instances at once. If 0, `stall` applies.
     Core::Duration origin_stall { 0 };
 };
 
-/// Decides which chunk of one version this instance reads next, and from whom.
+/// Decides which chunk of one version this instance reads next, and from which source.
 ///
-/// A few seeders, the same everywhere by rendezvous hashing over the instances that want the version, read
-/// from the origin: few, so that each chunk arrives early and whole instead of all arriving late together.
-/// Each chunk has a ranking, the seeders first: the first reads it from the origin at once, the others only if after a
-/// patience that grows with the logarithm of their rank no neighbour holds it and nothing better is left to read.
-/// All else comes from neighbours, rarest first.
+/// A few seeders read from the origin. All instances compute the same seeders by rendezvous hashing over the caches, or over the instances
+/// that want the version if there are no caches. They are few so that some chunks arrive early and complete, rather than all chunks late
+/// and together. For each chunk the instances are ranked, the seeders first: rank 0 reads the chunk from the origin at once, the others
+/// only if no neighbour holds it, nothing else arrives, and a wait that grows with the logarithm of their rank has passed.
+/// All other chunks are read from neighbours, those with the fewest holders first.
 class Transfer {
 public:
+    /// @param self the id of this instance.
+    /// @param targets the ids of the instances that want the version.
+    /// @param held the indices of the chunks that this instance already holds; each must be a valid index.
     Transfer(Schema::VersionSpec const&, std::string self, std::vector<std::string> targets, std::vector<int64_t> const& held, TransferSettings, uint64_t seed, Core::Time now);
 
-    /// The set of instances that want the version changed.
+    /// Replaces the list of instances that want the version.
     void set_targets(std::vector<std::string> targets);
 
-    /// The instances near by, this one among them: bytes from any other are dear, so of each chunk one copy comes
-    /// from far away and the others from near. Empty: all are near.
+    /// Sets the instances of this region, including this one. Traffic between regions is expensive, so one instance reads each chunk from
+    /// another region, and the others read it within the region. If empty, regions are ignored.
     void set_near(std::vector<std::string> const& near);
 
-    /// Instances that keep a copy for the others, with links to spare: they read from the origin before anybody else,
-    /// bring a region's one copy from far away, and are asked before other peers. Empty: there are none.
+    /// Sets the instances that keep a copy of the version for others and have fast links. They read from the origin before all other
+    /// instances, read their region's one copy from another region, and are preferred to other peers as sources. Empty if there are no
+    /// caches.
     void set_caches(std::vector<std::string> caches);
 
-    /// A neighbour says that it holds chunks, beyond those that it named before.
+    /// Records that a neighbour holds these chunks in addition to those that it announced before. Indices that the version does not have
+    /// are ignored.
     void on_peer_chunks(std::string const& peer, std::vector<int64_t> const& chunks);
-    /// A neighbour is gone, with all that it held.
+    /// Records that a neighbour, and thus the chunks that it held, can no longer be reached.
     void on_peer_lost(std::string const& peer);
 
-    /// Some bytes of a read arrived.
+    /// Records that some bytes of a read arrived. These three functions ignore reads that have ended or were cancelled.
     void on_progress(uint64_t fetch, Core::Time now);
-    /// A read ended with verified bytes.
+    /// Records that a read completed and its bytes matched the chunk's digest.
     void on_fetched(uint64_t fetch, Core::Time now);
     void on_failed(uint64_t fetch, FetchFailure, Core::Time now);
 
-    /// What to do now.
+    /// Cancels the reads that have stalled or whose chunk is already held. Returns these cancellations and the reads to start now.
     std::vector<TransferAction> step(Core::Time now);
 
     bool is_complete() const { return m_held_count == m_chunks.size(); }
@@ -107,26 +114,28 @@
     size_t chunk_count() const { return m_chunks.size(); }
     bool holds(size_t chunk) const { return m_chunks[chunk].is_held; }
 
-    /// Missing chunks that no neighbour holds, and those of them that are this instance's to read from the origin at once.
+    /// Counts of the missing chunks that no neighbour holds.
     struct Unheld {
         size_t chunks { 0 };
+        /// Those of them for which this instance has rank 0, so that it reads them from the origin without waiting.
         size_t own { 0 };
     };
     Unheld unheld() const;
 
-    /// True if for some time no neighbour has had anything to offer: other neighbours may.
+    /// Whether chunks are missing, no read is in flight, and none has completed for half of the `stall` setting. Other neighbours may then
+    /// hold chunks that the current ones do not.
     bool is_starved(Core::Time now) const;
 
 private:
     struct ChunkState {
         bool is_held { false };
-        // Reads under way.
+        // Reads in flight.
         size_t fetches { 0 };
-        // A slow read of it was doubled, which may have cost its bytes twice.
+        // A duplicate of a slow read was started, so that the chunk's bytes may be received twice.
         bool is_doubled { false };
-        // Neighbours that hold it.
+        // Number of neighbours that hold the chunk.
         size_t holders { 0 };
-        // Those of them that are near by.
+        // Number of those that are in this region.
         size_t near_holders { 0 };
         Core::Time without_holder_since { 0 };
     };
@@ -144,8 +153,10 @@
         std::optional<Core::Time> first_bytes;
     };
 
+    /// Ends this instance's wait as a backup reader of the origin, if `reader`, a chunk's first holder, is in the same backup group.
     void join_stand_ins(std::string const& reader);
     void end_fetch(uint64_t id);
+    /// Starts the backoff from a source after a failure.
     void punish(Source const&, FetchFailure, Core::Time now);
     void give_up_stalled(Core::Time now, std::vector<TransferAction>&);
     bool start_from_peer(Core::Time now, std::vector<TransferAction>&);
@@ -173,14 +184,15 @@
     SourceFaults m_faults;
     ReadTimes m_times;
     size_t m_held_count { 0 };
-    // Chunks whose bytes may still be read twice.
+    // Number of duplicate reads that may still be started.
     size_t m_duplicates_left { 0 };
     uint64_t m_next_fetch { 1 };
     Core::Time m_last_useful { 0 };
     Core::Time m_origin_failed_at { 0 };
-    // Reads of the origin that failed since one succeeded.
+    // Failed reads from the origin since the last successful one.
     int64_t m_origin_failures { 0 };
-    // Patience that this instance has shown already before it read from the origin in the place of others.
+    // How many times `origin_patience` this instance has already waited before it read from the origin in place of others.
+    // Chunks for which no longer wait is due are read without another wait.
     int64_t m_origin_steps_waited { 0 };
 };
 
--- a/Libraries/LibDistribution/UnmetGoals.h
+++ b/Libraries/LibDistribution/UnmetGoals.h
@@ -8,17 +8,17 @@
 
 namespace Distribution {
 
-/// The versions that an engine was to reach and has not reached, with the time at which each was named.
+/// The versions that the operator named in the log records and that an engine does not serve yet, with the time at which each was named.
 ///
-/// Each named version has a bound of its own. One that was skipped for a newer one is met by the newer one; until then
-/// its bound, which is the earlier one, holds.
+/// Each named version has its own deadline. A version that was skipped for a newer one counts as reached when the newer one is served;
+/// until then its earlier deadline applies.
 class UnmetGoals {
 public:
     void on_named(int64_t version, Core::Time named_at);
-    /// The engine serves a version: this one and all before it are met.
+    /// Records that the engine serves a version. This version and all older ones count as reached.
     void on_serving(int64_t version);
 
-    /// When the oldest version was named that is not met; nothing if all are.
+    /// Returns when the oldest version that is not reached was named, or std::nullopt if all are reached.
     std::optional<Core::Time> oldest_named_at() const;
 
 private:
