--- a/Libraries/LibDistribution/ChunkStore.cpp
+++ b/Libraries/LibDistribution/ChunkStore.cpp
@@ -15,7 +15,7 @@
         return AddResult::AlreadyHeld;
     if (incoming.m_hash.finish() != digest)
         return AddResult::Corrupt;
-    // Growing slice by slice may have left up to as much again unused.
+    // The string grew slice by slice, so its capacity may be up to twice its size.
     incoming.m_bytes.shrink_to_fit();
     m_bytes += incoming.m_bytes.size();
     m_chunks[digest] = std::make_shared<std::string const>(std::move(incoming.m_bytes));
--- a/Libraries/LibDistribution/EngineControl.cpp
+++ b/Libraries/LibDistribution/EngineControl.cpp
@@ -5,7 +5,7 @@
 
 namespace Distribution {
 
-// Room for the changes of one agent's mind at one configuration offset.
+// Fences grow with the configuration offset. This many are left between two offsets for further orders at the same offset.
 static constexpr int64_t fences_per_offset = 1 << 16;
 static constexpr Core::Duration order_retry { 1000 };
 
@@ -27,7 +27,7 @@
 
 void EngineControl::on_status(Schema::EngineStatus const& status, Core::Time sent_at)
 {
-    // A status asked for before an order was answered says nothing of what came after it.
+    // A status that was requested before the last order was answered may not show the order's effect.
     if (m_order_in_flight || sent_at < m_answered_at)
         return;
     m_status = status;
@@ -39,7 +39,7 @@
 
 void EngineControl::on_unreachable()
 {
-    // It may come back as another process, with nothing loaded.
+    // The engine may return as a new process with nothing loaded.
     m_status.reset();
 }
 
@@ -81,7 +81,7 @@
     bool const is_wanted = m_wanted && m_complete_digest == m_wanted->digest;
     if (!is_wanted || m_order_in_flight || now < m_not_before)
         return {};
-    // Without a status the highest fence is not known, and an order might be taken for a late one.
+    // Without a status the engine's highest fence is not known, and the engine could refuse the order as an outdated one.
     if (!m_status || m_status->loading || is_ready())
         return {};
     bool const serves_something = m_status->serving.has_value();
@@ -106,7 +106,7 @@
         if (std::find(ready.begin(), ready.end(), id) == ready.end())
             missing += 1;
     }
-    // An instance outside the set serves until the set is complete.
+    // An instance that is not ranked keeps serving until all ranked instances are ready.
     return missing == 0;
 }
 
--- a/Libraries/LibDistribution/ReadRanks.cpp
+++ b/Libraries/LibDistribution/ReadRanks.cpp
@@ -7,7 +7,8 @@
 
 namespace Distribution {
 
-// An instance that is no cache has perhaps just started and knows few of the caches that read for it.
+// An instance that is not a cache may have just started and know only a few of the caches that read from the origin. It never gets a
+// lower rank than this, so that it waits long enough for the caches that it does not know.
 static constexpr size_t least_rank_behind_caches = 16;
 
 static bool contains(std::vector<std::string> const& instances, std::string const& instance)
@@ -93,7 +94,8 @@
 
 bool ReadRanks::stands_in_beside(std::string const& peer) const
 {
-    // Caches hear from each reader itself; others hear of chunks that have passed through several hands.
+    // Caches receive announcements directly from every reader of the origin. Other instances also receive announcements from peers that got
+    // the chunk from another peer.
     bool const are_both_caches = is_cache(peer) && is_cache(m_self);
     return m_best_origin_rank > 0 && are_both_caches && group_begin(position_of(peer)) == m_best_origin_rank;
 }
@@ -111,7 +113,7 @@
 
 size_t ReadRanks::rank_among(std::vector<std::string> const& instances, std::string const& digest) const
 {
-    // The rank is the number of instances with a higher hash; no order needs to be built.
+    // The rank is the number of instances with a higher hash, so no sorting is needed.
     auto const own = Core::stable_hash(digest, m_self);
     return static_cast<size_t>(std::count_if(instances.begin(), instances.end(), [&](auto const& instance) {
         return instance != m_self && Core::stable_hash(digest, instance) > own;
--- a/Libraries/LibDistribution/ReadTimes.cpp
+++ b/Libraries/LibDistribution/ReadTimes.cpp
@@ -14,7 +14,7 @@
 void ReadTimes::on_fetched(Core::Duration took, std::optional<Core::Duration> bytes_lasted, size_t reads)
 {
     m_mean_ms = smoothed(m_mean_ms, static_cast<double>(took.count()));
-    // Reads at the same time share the link: what each took is divided by their number.
+    // Concurrent reads share the link, so the duration of each is divided by their number.
     if (bytes_lasted)
         m_mean_bytes_ms = smoothed(m_mean_bytes_ms, static_cast<double>(bytes_lasted->count()) / static_cast<double>(reads));
 }
--- a/Libraries/LibDistribution/SourceFaults.cpp
+++ b/Libraries/LibDistribution/SourceFaults.cpp
@@ -5,11 +5,11 @@
 
 namespace Distribution {
 
-// A source that is busy is asked again soon; one that fails is left alone for longer each time.
+// The backoff from a busy source is short and constant; the backoff from a peer that fails doubles with each failure.
 static constexpr Core::Duration busy_wait { 50 };
 static constexpr Core::Duration fault_wait { 500 };
-// Nobody else can send what the origin holds, and few ask it: whoever is to read it asks often, so that no version misses its
-// bound for a wait after the origin is back.
+// Chunks that only the origin holds have no other source, and few instances read from the origin. These retry often, so that no version
+// misses its deadline because of a backoff that continues after the origin is reachable again.
 static constexpr Core::Duration origin_fault_wait { 250 };
 static constexpr Core::Duration corrupt_wait { 10000 };
 static constexpr size_t most_fault_doublings = 5;
--- a/Libraries/LibDistribution/StagedLoad.cpp
+++ b/Libraries/LibDistribution/StagedLoad.cpp
@@ -39,7 +39,7 @@
     auto& state = m_chunks[chunk];
     state.is_in_call = false;
     m_calls -= 1;
-    // What lay there before the engine started again may be gone since.
+    // The staged chunk may have been lost when the engine restarted after the read-back was sent.
     if (std::exchange(state.is_call_overtaken, false))
         return;
     if (is_right) {
@@ -63,7 +63,7 @@
     m_report = report;
     if (report.started_at_ms)
         m_started_at_ms = report.started_at_ms;
-    // One that holds a newer version has been told of it by somebody: it is never turned back.
+    // An engine that holds a newer version was ordered to load it by someone else. It is never ordered back to this older version.
     m_is_serving = Configuration::whole_version(report.held, layers) >= m_version;
     if (m_is_serving || has_answered)
         m_ordered_at.reset();
@@ -73,7 +73,7 @@
 {
     if (m_started_at_ms && report.started_at_ms)
         return *m_started_at_ms != *report.started_at_ms;
-    // An engine that tells no start is known to have started again by its sequence, if that is lower.
+    // If the engine reports no start time, a lower sequence number shows that it has restarted.
     bool const has_sequences = m_report && m_report->order_sequence && report.order_sequence;
     return has_sequences && *report.order_sequence < *m_report->order_sequence;
 }
@@ -98,17 +98,17 @@
 void StagedLoad::on_ordered(Platform::OrderOutcome outcome, Core::Time now)
 {
     m_is_ordering = false;
-    // Its engine is gone. If the one that is there now has taken it after all, its report tells, and its sequence keeps
-    // the next order from taking effect beside it.
+    // The incarnation that the order was sent to has ended. If the new incarnation has accepted the order after all, its report shows that,
+    // and its changed sequence number keeps the next order from taking effect as well.
     if (std::exchange(m_is_order_overtaken, false))
         return;
-    // A refused order leaves nothing to wait for but a newer report.
+    // After a refusal, only a newer report is needed for the next order.
     if (outcome == Platform::OrderOutcome::Refused) {
         m_ordered_at.reset();
         m_report.reset();
         return;
     }
-    // Where nothing was answered, the wait for the answer was part of the wait for a report that tells.
+    // If there was no answer, the time spent waiting for it counts towards `order_patience`.
     m_ordered_at = outcome == Platform::OrderOutcome::Unknown ? m_order_sent_at : now;
 }
 
@@ -168,7 +168,7 @@
     if (!m_draining_since)
         m_draining_since = now;
     auto const drained_for = now - *m_draining_since;
-    // What entries sent before they heard of it is still on its way.
+    // Requests that entries sent before they received the message of the drain may still arrive.
     if (drained_for < m_settings.notice)
         return {};
     auto const left = m_report->running + m_report->waiting;
--- a/Libraries/LibDistribution/Transfer.cpp
+++ b/Libraries/LibDistribution/Transfer.cpp
@@ -6,20 +6,20 @@
 
 namespace Distribution {
 
-// At the end a slow read is doubled once, and this part of the missing chunks and one more may cost bytes twice: a version
-// is not read twice because a machine or a link is slow as a whole.
+// A slow read is duplicated at most once, and at most one chunk plus one in `missing_chunks_per_duplicate` of the missing chunks is read
+// twice. Otherwise a machine or link that is slow as a whole would make the whole version be read twice.
 static constexpr size_t reads_per_chunk = 2;
 static constexpr size_t missing_chunks_per_duplicate = 16;
-// Where chunks come within milliseconds, twice the mean says nothing: a busy machine holds one read up for longer. A read
-// is not slow before this part of the silence that would end it.
+// If chunks arrive within milliseconds, twice the mean is no sign of a slow source, since a busy machine delays a single read for longer.
+// A read counts as slow only after this fraction of the stall timeout.
 static constexpr int64_t slow_reads_per_stall = 8;
 
-// An instance that stands in for others waits up to this often twice as long while the origin fails it.
+// While its own reads from the origin fail, a backup reader doubles its wait up to this many times.
 static constexpr int64_t most_patience_doublings = 3;
 
-/// How often its patience an instance of a rank waits before it does what those before it should have done: each time
-/// twice as many may have begun, so that among hundreds of lost ones the first that is left acts after a few waits, and
-/// seldom more than a few act at once.
+/// Returns how many waits of `origin_patience` or `far_patience` an instance of this rank lets pass before it reads in place of those
+/// before it. With each wait twice as many instances may read: if hundreds are lost, the first remaining one reads after a few waits, and
+/// seldom do more than a few read at once.
 static int64_t patience_steps(size_t rank)
 {
     return static_cast<int64_t>(std::bit_width(rank));
@@ -68,7 +68,7 @@
     auto& state = m_peers[peer];
     for (auto number : chunks) {
         auto const chunk = static_cast<size_t>(number);
-        // A peer may name anything: what the version does not have is not believed.
+        // The indices come from a peer and may be out of range.
         if (number < 0 || chunk >= m_chunks.size())
             continue;
         if (!state.chunks.insert(chunk).second)
@@ -80,7 +80,8 @@
     }
 }
 
-/// The first holder of a chunk has most likely read it from the origin: where it stands in for others, so do those of its group.
+/// The first holder of a chunk has most likely read it from the origin. If it is a backup reader, the readers before its group are lost,
+/// and the other members of its group read as well without a further wait.
 void Transfer::join_stand_ins(std::string const& reader)
 {
     if (m_ranks.stands_in_beside(reader))
@@ -165,13 +166,13 @@
 void Transfer::punish(Source const& source, FetchFailure failure, Core::Time now)
 {
     if (source.is_origin() && failure == FetchFailure::Unreachable) {
-        // While the origin fails nobody reads it, whoever is there: those that come first try it again first, or all would
-        // read it at once when it is back.
+        // Chunks missing during a failure of the origin do not mean that the readers before this one are lost. The wait starts anew, so
+        // that the first in rank retry first. Otherwise all would read at once when the origin is reachable again.
         m_origin_failed_at = now;
         m_origin_steps_waited = 0;
         m_origin_failures += 1;
     }
-    // A peer that is gone begins anew when it comes back.
+    // The backoff of a lost peer was discarded, and it starts without one if it returns.
     if (source.is_origin() || m_peers.contains(source.peer))
         m_faults.on_failed(source, failure, now);
 }
@@ -202,7 +203,8 @@
 
 void Transfer::refund_duplicate(Running const& ended)
 {
-    // A peer that sent nothing cost no bytes. Of the origin's bytes nothing is told before the last.
+    // A peer from which no bytes arrived cost no traffic. A read from the origin reports no bytes before the last, so it may have cost
+    // some.
     auto& chunk = m_chunks[ended.chunk];
     bool const has_cost_bytes = ended.first_bytes.has_value() || ended.source.is_origin();
     if (!chunk.is_doubled || has_cost_bytes)
@@ -213,7 +215,7 @@
 
 size_t Transfer::origin_fetch_limit() const
 {
-    // Those that stand in may be many, and what the origin sends to all at once comes late to each.
+    // Backup readers may be many, and the more reads the origin serves at once, the later each of them completes.
     return m_ranks.best_origin_rank() > 0 ? std::min<size_t>(1, m_settings.origin_fetches_in_flight) : m_settings.origin_fetches_in_flight;
 }
 
@@ -263,7 +265,7 @@
 std::string Transfer::choose_peer(size_t chunk, Core::Time now, std::string const& except)
 {
     std::string best;
-    // Whether it is no cache, then the reads that it has in hand for this instance.
+    // False for a cache, then the number of this instance's reads in flight from the peer.
     std::pair<bool, size_t> best_load;
     uint64_t ties = 0;
     for (auto const& [id, peer] : m_peers) {
@@ -276,7 +278,7 @@
             continue;
         bool const is_better = best.empty() || load < best_load;
         ties = is_better ? 1 : ties + 1;
-        // Among equals each has the same chance.
+        // Equal peers are chosen with the same probability (reservoir sampling).
         if (is_better || m_random() % ties == 0) {
             best = id;
             best_load = load;
@@ -296,7 +298,7 @@
     }
     if (candidates.empty())
         return false;
-    // Among equals each has the same chance.
+    // Chunks with the same number of holders are chosen with the same probability.
     std::shuffle(candidates.begin(), candidates.end(), m_random);
     if (m_settings.rarity_sample > 0 && candidates.size() > m_settings.rarity_sample)
         candidates.resize(m_settings.rarity_sample);
@@ -335,7 +337,8 @@
     auto const steps = patience_steps(m_ranks.origin_rank(chunk));
     if (steps <= m_origin_steps_waited)
         return true;
-    // One that has found the origin failing itself has no reason to think that those before it are gone.
+    // If this instance's own reads from the origin failed, missing chunks do not mean that the readers before it are lost, so it waits
+    // longer.
     auto const doublings = std::min(m_origin_failures, most_patience_doublings);
     auto const since = std::max({ state.without_holder_since, m_last_useful, m_origin_failed_at });
     return now - since >= m_settings.origin_patience * (steps << doublings);
@@ -353,7 +356,7 @@
     if (candidates.empty())
         return false;
     auto const chunk = candidates[m_random() % candidates.size()];
-    // Those before it are gone: what they left is read without another wait.
+    // The readers before this one are lost, so the other chunks assigned to them are read without another wait.
     m_origin_steps_waited = std::max(m_origin_steps_waited, patience_steps(m_ranks.origin_rank(chunk)));
     actions.push_back(begin(chunk, Source {}, now));
     return true;
@@ -394,7 +397,7 @@
     bool has_started = true;
     auto const limit = fetch_limit();
     while (has_started && m_running.size() < limit) {
-        // What the origin owes to the others goes first: everybody waits for it.
+        // Reads from the origin come first, since all other instances wait for these chunks.
         has_started = start_from_origin(now, actions);
         if (!has_started)
             has_started = start_from_peer(now, actions);
--- a/Tests/LibDistribution/TestEngineControl.cpp
+++ b/Tests/LibDistribution/TestEngineControl.cpp
@@ -18,7 +18,7 @@
 
 namespace {
 
-/// An engine that takes fenced orders, loads for a while, and may be restarted.
+/// An engine that accepts orders with a higher fence than the last, loads for a while, and may restart.
 struct FakeEngine {
     int64_t fence { 0 };
     std::optional<Schema::Weights> serving;
@@ -139,7 +139,7 @@
             }
             break;
         case 6:
-            // The agent is started anew: it knows neither fences nor chunks.
+            // The agent restarts and knows neither fences nor chunks.
             if (random() % 5 == 0) {
                 control = std::make_unique<EngineControl>();
                 complete.clear();
@@ -150,7 +150,7 @@
             }
             break;
         case 7:
-            // The engine is started anew. Its agent learns of it from the status; until then requests are refused by the engine.
+            // The engine restarts. Its agent detects that from the status; until then the engine refuses requests.
             if (random() % 5 == 0) {
                 engine = FakeEngine();
                 control->on_unreachable();
@@ -170,7 +170,7 @@
             RC_ASSERT(complete.contains(order->weights.version));
             RC_ASSERT(order->fence > engine.fence);
             sent = order;
-            // The order may arrive, or arrive and lose its answer; it is then told as refused.
+            // The order arrives, but its answer may be lost. It is then recorded as not accepted.
             bool const is_taken = engine.order(*order);
             answer = is_taken && random() % 4 != 0;
         }
@@ -198,7 +198,7 @@
     std::vector<std::string> told;
     for (int step = 0; step < 2000; ++step) {
         auto const i = random() % count;
-        // What an instance is told of the others may be old, but a copy that serves the new version goes on doing so.
+        // An instance's information on the others may be outdated, but a copy that serves the new version keeps serving it.
         if (random() % 3 == 0) {
             told.clear();
             for (size_t j = 0; j < count; ++j) {
--- a/Tests/LibDistribution/TestGoalOrder.cpp
+++ b/Tests/LibDistribution/TestGoalOrder.cpp
@@ -32,5 +32,5 @@
     EXPECT_FALSE(is_worth_finishing(stand));
     stand.held = 7;
     stand.since_named = Core::Duration(6000);
-    EXPECT_FALSE(is_worth_finishing(stand)) << "the newer version has a bound as well";
+    EXPECT_FALSE(is_worth_finishing(stand)) << "the newer version has a deadline as well";
 }
--- a/Tests/LibDistribution/TestPeerGroup.cpp
+++ b/Tests/LibDistribution/TestPeerGroup.cpp
@@ -31,7 +31,7 @@
     EXPECT_EQ(peer_group(all, "unnamed", regions).size(), largest_whole_group);
 }
 
-// Whose turn it is to switch is told from the same ranking at each instance, so they must have the same group.
+// Each instance computes from its group whose turn it is to switch, so all members must compute the same group.
 TEST(PeerGroup, AllOfAGroupHaveTheSameGroup)
 {
     auto const all = peers(largest_whole_group);
--- a/Tests/LibDistribution/TestStagedLoad.cpp
+++ b/Tests/LibDistribution/TestStagedLoad.cpp
@@ -18,7 +18,7 @@
     return report;
 }
 
-/// An engine with staged chunks that turn bad, whose answers are lost, and which restarts.
+/// An engine that restarts, loses its answers to orders, and whose staged chunks become corrupt (state 2; 1 is correct, 0 is not staged).
 struct FakeEngine {
     std::vector<int> staged;
     int64_t version { 0 };
@@ -104,7 +104,7 @@
 TEST(StagedLoad, NothingIsOrderedWhileChunksAreMissing)
 {
     StagedLoad load(2, 3, {});
-    // An empty engine: one that serves is drained first.
+    // The engine is empty; an engine that serves a version would be drained first.
     load.on_report(report(0, false, 0), layers, Core::Time(0));
     load.on_held(0);
     load.on_held(2);
@@ -160,7 +160,7 @@
     std::optional<OrderLoad> order;
     finish_calls(load, Core::Time(1), order);
     ASSERT_TRUE(order.has_value());
-    // The order's connection fell silent, and the call was given up a while later.
+    // Nothing was received on the order's connection, and the call timed out.
     load.on_ordered(Platform::OrderOutcome::Unknown, Core::Time(1001));
     order.reset();
     load.on_report(report(0, false, 0), layers, Core::Time(1) + settings.order_patience);
@@ -230,7 +230,8 @@
     EXPECT_EQ(from_peers, 2u);
 }
 
-// A bound of seconds runs while the origin is away: what its readers wait after its return is missing at the end.
+// Versions have a deadline of seconds, which does not stop while the origin is unreachable. A long backoff after the origin is
+// reachable again could miss it.
 TEST(TransferDistance, AReaderOfTheOriginAsksItWithinAQuarterOfASecondOfItsReturn)
 {
     Transfer transfer(spec_of(1), "self", { "self" }, {}, {}, 1, Core::Time(0));
@@ -246,7 +247,7 @@
 
 TEST(TransferDistance, AnOriginThatWasDownIsAskedAgainWithinTheLongestWait)
 {
-    // Found by scale-1 of both sites: the origin was back for ten seconds before anybody asked it.
+    // Seen in scenario scale-1 of both sites: the origin was reachable again for ten seconds before any instance read from it.
     TransferSettings settings;
     settings.longest_fault_wait = Core::Duration(1000);
     Transfer transfer(spec_of(1), "self", { "self" }, {}, settings, 1, Core::Time(0));
@@ -332,7 +333,7 @@
             else if (auto const* read = std::get_if<ReadBackChunk>(&action))
                 load.on_read_back(read->chunk, true, now);
             else
-                FAIL() << "an older version is ordered " << step;
+                FAIL() << "a load of an older version was ordered at step " << step;
         }
     }
 }
@@ -383,7 +384,7 @@
     finish_calls(load, Core::Time(10), order);
     ASSERT_FALSE(order.has_value());
     EXPECT_TRUE(load.is_switching());
-    // What was staged may have gone with the power.
+    // The staged chunks may have been lost in a power failure.
     load.on_report(born(2000, report(0, false, 0)), layers, Core::Time(100));
     EXPECT_FALSE(load.is_switching());
     auto const actions = load.step(Core::Time(101));
@@ -432,7 +433,7 @@
     std::optional<OrderLoad> order;
     finish_calls(load, Core::Time(2), order);
     EXPECT_FALSE(order.has_value());
-    // Who goes on telling of an earlier start lives: its clock was set back.
+    // An engine that keeps reporting an earlier start is running: its clock was set back.
     load.on_report(born(1000, report(2, false, 7)), layers, Core::Time(100));
     EXPECT_TRUE(load.is_serving());
 }
--- a/Tests/LibDistribution/TestTransfer.cpp
+++ b/Tests/LibDistribution/TestTransfer.cpp
@@ -88,7 +88,7 @@
             transfer.on_failed(fetch->id, FetchFailure::Corrupt, Core::Time(now));
         }
     }
-    // Each step may have started as many as may be in flight before the verdict on the first came.
+    // Up to the maximum number of reads in flight may have started before the first was found to be corrupt.
     EXPECT_LE(from_peer, 8u);
 }
 
@@ -122,7 +122,7 @@
         reads.clear();
         for (auto const& [id, fetch] : running)
             RC_ASSERT(++reads[fetch.chunk] <= 2u);
-        // Every source may finish, fail in any way, or say nothing at all.
+        // Each read may complete, fail in any way, or receive nothing.
         std::vector<uint64_t> ids;
         ids.reserve(running.size());
         for (auto const& [id, fetch] : running)
@@ -145,7 +145,8 @@
 
 namespace {
 
-/// Fakes around many transfers: a link passes one chunk per slot each way, the origin twice as many. Virtual time.
+/// Simulates many instances with one Transfer each, in virtual time. In each time slot, an instance's link passes one chunk in each
+/// direction, and the origin's link two.
 struct Swarm {
     static constexpr Core::Duration slot { 100 };
     size_t chunks;
@@ -202,7 +203,8 @@
         }
     }
 
-    /// One chunk in for each instance, one out for each peer, two out for the origin; the rest are refused as busy.
+    /// Simulates one time slot: each instance receives one chunk, each peer sends one, and the origin sends two. All other reads are
+    /// refused as busy.
     void run_slot()
     {
         now += slot;
@@ -295,12 +297,12 @@
         for (auto const& fetch : fetches)
             read.insert(fetch.chunk);
     }
-    // Between them the caches read each chunk once.
+    // The caches together read each chunk once.
     EXPECT_EQ(read.size(), chunks);
     EXPECT_EQ(std::set<size_t>(read.begin(), read.end()).size(), chunks);
 }
 
-// The origin's link is filled until the last chunk only if no reader has more left than the others.
+// The origin's link is fully used until the last chunk only if no reader has more chunks left to read than the others.
 TEST(Transfer, ReadersOfTheOriginHaveAsManyChunksEach)
 {
     size_t const chunks = 64;
@@ -336,8 +338,8 @@
     EXPECT_FALSE(fetches_of(transfer.step(Core::Time(2000))).empty());
 }
 
-// Whoever was to read a chunk from the origin may be gone, and so may any number of those after it. The time until somebody
-// else reads it must not grow with the fleet.
+// The seeder of a chunk and any number of the readers ranked after it may be lost. The time until another instance reads the chunk
+// must grow only with the logarithm of the fleet's size.
 TEST(Transfer, SomebodyAsksTheOriginSoonHoweverManyReadersAreLost)
 {
     TransferSettings settings;
@@ -361,14 +363,14 @@
                     break;
                 }
             }
-            // Nine doublings of the rank in 400, and one more for those that are no seeders.
+            // The rank doubles nine times up to 400, and once more for instances that are not seeders.
             EXPECT_LE(first_asked, Core::Time(10 * 400)) << instances << " instances, " << lost << " lost";
             EXPECT_GE(asked_at_once, 1u);
         }
     }
 }
 
-// The same with a fleet at work: readers are lost one after another, at any chunk, and what is read twice stays little.
+// The same in a simulated fleet: readers are lost one after another, at any time of the transfer, and few chunks are read twice.
 TEST(Swarm, ReadersThatAreLostOneAfterAnotherAreReplaced)
 {
     for (size_t const loss_begins : { 1, 10, 25, 38 }) {
@@ -385,12 +387,13 @@
             swarm.run_slot();
         }
         EXPECT_LT(swarm.slots_until_complete(), 4 * swarm.chunks) << loss_begins;
-        // The bound on what the origin sends, and what the lost ones took with them.
+        // The origin may send 1.2 copies, and the chunks that were lost with the eight readers.
         EXPECT_LE(swarm.origin_reads, swarm.chunks * 12 / 10 + 8) << loss_begins;
     }
 }
 
-// All have waited long when an origin that was away is back. Those that read it for the others must be the ones to find it.
+// After an outage of the origin all instances have waited for long. When it is reachable again, the first in rank must read from it first,
+// or all would read at once.
 TEST(Transfer, NotAllAskAnOriginThatIsBackAtOnce)
 {
     TransferSettings settings;
@@ -411,19 +414,19 @@
             }
         }
     }
-    // The seeders each second, and a few others.
+    // All seeders retry, and some of the other instances.
     EXPECT_GE(asked_last.size(), settings.seeders);
     EXPECT_LE(asked_last.size(), 35u);
 }
 
-// The origin is away for six seconds, and those that are to read it are there: the others must not read the same chunks beside them
-// when it is back.
+// The origin is unreachable for six seconds while the seeders are present. Backup readers must seldom retry, or they would read the same
+// chunks as the seeders when the origin is reachable again.
 TEST(Transfer, ThoseThatStandInAskSeldomWhileTheOriginFailsThemToo)
 {
     TransferSettings settings;
     settings.origin_patience = Core::Duration(400);
     std::vector<std::string> const caches { "c0", "c1", "c2", "c3", "c4", "c5", "c6", "c7", "c8", "c9", "c10", "c11", "c12" };
-    // A reader asks each quarter of a second.
+    // A seeder retries every 250 ms, during the last four seconds.
     constexpr size_t asks_of_a_reader = 16;
     size_t readers = 0;
     for (auto const& self : caches) {
@@ -515,7 +518,7 @@
     ASSERT_EQ(first.size(), 6u);
     for (auto const& fetch : first)
         transfer.on_progress(fetch.id, Core::Time(10));
-    // Six chunks of 35 ms each, one beside the other.
+    // Six chunks of 35 ms each are read concurrently.
     transfer.on_fetched(first[0].id, Core::Time(220));
     EXPECT_FALSE(fetches_of(transfer.step(Core::Time(220))).empty());
 }
@@ -544,7 +547,7 @@
     ASSERT_EQ(first.size(), 4u);
     for (size_t i = 0; i < 3; ++i)
         transfer.on_fetched(first[i].id, Core::Time(2));
-    // A busy machine holds a read up for tens of milliseconds.
+    // A busy machine delays a read by tens of milliseconds.
     EXPECT_TRUE(fetches_of(transfer.step(Core::Time(200))).empty());
     auto const doubled = fetches_of(transfer.step(Core::Time(500)));
     ASSERT_EQ(doubled.size(), 1u);
