--- a/Services/Weights/ChunkServer.cpp
+++ b/Services/Weights/ChunkServer.cpp
@@ -32,7 +32,7 @@
         exchange->reply(status_not_found, {}, {});
         return;
     }
-    // The engine beside this agent reads over loopback, past the limits that are there for peers.
+    // The local engine reads over loopback, so the limits for peers do not apply.
     bool const is_for_engine = exchange->query("for") == "engine";
     if (is_for_engine) {
         exchange->reply_shared(status_ok, {}, std::move(chunk));
@@ -47,7 +47,7 @@
     std::erase_if(m_waiting, [](auto const& waiting) { return waiting.exchange->is_over(); });
     if (m_waiting.size() <= m_settings.waiting)
         return;
-    // The peer that is furthest along can best find another source.
+    // Refuse the peer that holds the most chunks: it loses the least by waiting for another source.
     auto const furthest = std::max_element(m_waiting.begin(), m_waiting.end(), goes_first);
     m_metrics.count("mountbarrow_agent_uploads_refused_total");
     furthest->exchange->reply(status_unavailable, { { "Retry-After", "1" } }, {});
@@ -59,7 +59,7 @@
     exchange.limit(m_limit);
     *m_uploads += 1;
     m_metrics.count("mountbarrow_agent_uploads_total");
-    // The count goes down when the last byte is sent, or the connection breaks; the link must not idle after that.
+    // The deleter runs when the last byte was sent or the connection has broken. It starts the next upload, so that the link is not idle.
     auto counted = std::shared_ptr<std::string const>(chunk.get(), [this, chunk, alive = std::weak_ptr(m_uploads)](auto const*) {
         auto const uploads = alive.lock();
         if (!uploads)
@@ -76,7 +76,7 @@
 void ChunkServer::upload_next()
 {
     while (*m_uploads < m_settings.at_once && !m_waiting.empty()) {
-        // The peer that is furthest behind goes first: the time to all replicas is the time of the last.
+        // The peer that is furthest behind comes first, since the time until all replicas are complete is that of the last one.
         auto const furthest_behind = std::min_element(m_waiting.begin(), m_waiting.end(), goes_first);
         auto const next = std::move(*furthest_behind);
         m_waiting.erase(furthest_behind);
--- a/Services/Weights/ChunkServer.h
+++ b/Services/Weights/ChunkServer.h
@@ -12,36 +12,42 @@
 
 namespace Weights {
 
-/// A peer that takes nothing of a chunk for so long sits behind a dead connection, and has asked another source by then.
+/// Send timeout of an upload: a peer that receives nothing for this time has a broken connection, and has begun to read from another
+/// source.
 inline constexpr Core::Duration upload_patience { 2000 };
 
 struct ChunkServerSettings {
-    /// Bytes a second to all peers together; 0 for no limit.
+    /// Limit of the bytes per second sent to all peers together. If 0, there is no limit.
     int64_t bytes_per_second { 0 };
-    /// Chunks sent to peers at once. More would split the link, and each copy would arrive later.
+    /// Maximum number of concurrent uploads to peers. More uploads would share the link, and each chunk would arrive later.
     size_t at_once { 1 };
-    /// Requests that may wait for an upload to end, so that the link never idles.
+    /// Maximum number of requests that wait for an upload to end, so that the link is never idle in between.
     size_t waiting { 1 };
 };
 
-/// Sends the chunks held here to peers and to the engine beside this agent.
+/// Sends the chunks that this instance holds to peers and to the local engine. Queues requests of peers beyond the limit of concurrent
+/// uploads, and refuses requests beyond the limit of the queue.
 class ChunkServer {
 public:
     ChunkServer(Core::EventLoop&, ChunkServerSettings, Core::Metrics&, Distribution::ChunkStore const&);
 
-    /// Answers a request for a chunk: now, after the uploads before it, or by a refusal as busy.
+    /// Answers a request for the chunk with this digest: at once, after uploads before it, with 404 if the chunk is not held, or with 503
+    /// and Retry-After if the queue is full. Query parameters: `for=engine` for the local engine, which is not limited, `for=cache` for a
+    /// cache, and `held` for the number of chunks that the peer holds. If the queue is full, the waiting peer that is furthest along is
+    /// refused.
     void serve(std::shared_ptr<Transport::HttpExchange> const&, std::string const& digest);
 
 private:
     struct WaitingUpload {
         std::shared_ptr<Transport::HttpExchange> exchange;
         std::shared_ptr<std::string const> chunk;
-        // It is for a cache, which passes it on to many.
+        // The requesting peer is a cache, which sends the chunk on to many instances.
         bool is_for_cache { false };
-        // Chunks that the requesting peer says it holds.
+        // Number of chunks that the requesting peer reports to hold.
         size_t held { 0 };
     };
 
+    /// Whether the first upload has priority: caches first, then the peer that holds fewer chunks.
     static bool goes_first(WaitingUpload const&, WaitingUpload const&);
     void upload(Transport::HttpExchange&, std::shared_ptr<std::string const> const& chunk);
     void upload_next();
@@ -51,7 +57,8 @@
     Core::Metrics& m_metrics;
     Distribution::ChunkStore const& m_store;
     Transport::RateLimit m_limit;
-    // Uploads under way. Bytes on their way out may outlive this object, and ask by this whether it is there.
+    // Number of uploads in flight. A response that is being sent may outlive this object, and checks through a weak pointer to this whether
+    // the object still exists.
     std::shared_ptr<size_t> m_uploads;
     std::deque<WaitingUpload> m_waiting;
 };
--- a/Services/Weights/CopyFetcher.cpp
+++ b/Services/Weights/CopyFetcher.cpp
@@ -11,14 +11,14 @@
 using Distribution::FetchFailure;
 
 static constexpr Core::Duration progress_interval { 500 };
-// Of a chunk that the origin sent far away peers need one copy at once; what others then hold beside it is of use to them
-// only if its first holder is lost.
+// Peers in other regions need to know at once of the first copy of a chunk, which came from the origin. Further copies are of use to them
+// only if the first holder is lost, so they are announced at this interval.
 static constexpr Core::Duration far_news_interval { 500 };
 static constexpr Core::Duration manifest_retry { 700 };
-// Nothing of a version can be read before its manifest: an origin that failed is asked for it again sooner than one that is slow.
+// No chunk of a version can be read before its manifest is known, so the request is repeated sooner if the origin fails than if it is slow.
 static constexpr Core::Duration failed_manifest_retry { 250 };
-// The origin's link is narrow, and a manifest takes as long as a seventh of a chunk: a few caches read it there, and the
-// others wait this long for one that has it.
+// The origin's link is slow, and a manifest takes as long as a seventh of a chunk. So a few caches read it from the origin, and the other
+// instances wait this long for a peer that has it.
 static constexpr Core::Duration cache_patience { 500 };
 // SHA-256 in hexadecimal.
 static constexpr size_t digest_characters = 64;
@@ -47,7 +47,7 @@
         return;
     }
     Core::log_event(Core::LogLevel::Info, "goal_changed", { { "model", goal.model }, { "version", std::to_string(goal.version) }, { "origin", goal.origin_address }, { "peers", std::to_string(goal.peers.size()) } });
-    // What came since the last turn is still wanted by those that finish the version.
+    // Instances that still fetch the previous version need the chunks that arrived since the last announcement.
     announce_news();
     m_announced_far_at = Core::Time(0);
     announce_news_far(Core::monotonic_now());
@@ -109,7 +109,7 @@
     return stand;
 }
 
-// The version before.
+// Keeping and dropping the previous version.
 
 bool CopyFetcher::is_whole(KnownVersion const& version) const
 {
@@ -121,7 +121,7 @@
     if (!m_wanted)
         return;
     auto ended = *std::exchange(m_wanted, {});
-    // A whole version serves whoever is behind; of one that was given up unfinished, nobody may have the rest.
+    // A complete version is of use to instances that are behind. The missing chunks of an incomplete one may be held by no instance.
     bool const is_older_of_more_use = m_older && is_whole(*m_older) && !is_whole(ended);
     if (!is_older_of_more_use)
         m_older = std::move(ended);
@@ -129,7 +129,7 @@
 
 void CopyFetcher::drop_older_if_unneeded()
 {
-    // Until the wanted version's manifest is here, it is not known which of the older chunks it shares.
+    // Until the wanted version's manifest is known, it is not known which chunks both versions have.
     if (!m_older || !m_transfer || m_callbacks.is_lacked(m_older->manifest.version))
         return;
     Core::log_event(Core::LogLevel::Info, "older_copy_dropped", { { "version", std::to_string(m_older->manifest.version) } });
@@ -147,7 +147,7 @@
     m_store.keep_only(needed);
 }
 
-// The manifest.
+// Requesting and serving the manifest.
 
 std::vector<std::string> CopyFetcher::peers_with_manifest() const
 {
@@ -155,7 +155,7 @@
     std::vector<std::string> others;
     for (auto const& [peer, chunks] : m_peer_chunks.holders_of(m_goal->model, m_goal->version))
         (chunks.empty() ? others : stocked).push_back(peer);
-    // One that named no chunk yet may only be seeking the version, as this one is.
+    // A peer that has announced no chunk may not have the manifest either.
     return stocked.empty() ? others : stocked;
 }
 
@@ -180,7 +180,7 @@
         return;
     m_next_manifest_try = now + manifest_retry;
     m_manifest_tries += 1;
-    // Every other try goes to the origin.
+    // Every second attempt goes to the origin.
     bool const is_peers_turn = !peers.empty() && m_manifest_tries % 2 == 1;
     if (is_peers_turn)
         read_manifest_from_peer(peers[Core::stable_hash(m_settings.identity, std::to_string(m_manifest_tries)) % peers.size()]);
@@ -227,7 +227,7 @@
     if (m_wanted || !m_goal)
         return;
     bool const is_wanted = manifest.model == m_goal->model && manifest.version == m_goal->version;
-    // Where the configuration does not say how many chunks there are, the manifest does.
+    // If the configuration does not say how many chunks the version has, the manifest's number is accepted.
     bool const is_whole = m_goal->chunks > 0 ? manifest.digests.size() == static_cast<size_t>(m_goal->chunks) : !manifest.digests.empty();
     bool const is_sound = std::all_of(manifest.digests.begin(), manifest.digests.end(), [](auto const& digest) { return digest.size() == digest_characters; });
     if (!is_wanted || !is_whole || !is_sound) {
@@ -260,7 +260,7 @@
     exchange.reply(status_ok, {}, text.dump());
 }
 
-// Moving chunks.
+// Fetching and announcing chunks.
 
 bool CopyFetcher::adopt(size_t chunk, std::string const& bytes)
 {
@@ -442,7 +442,7 @@
 
 void CopyFetcher::hold_chunk(size_t chunk, bool is_from_origin)
 {
-    // The same bytes may stand at several places of a version.
+    // Several chunks of a version may have the same bytes.
     auto const& digest = m_wanted->spec.chunks[chunk].digest;
     for (size_t i = 0; i < m_wanted->spec.chunks.size(); ++i) {
         if (m_wanted->spec.chunks[i].digest != digest)
@@ -484,11 +484,11 @@
     m_callbacks.announce_far(news(std::exchange(m_unannounced_far, {})));
 }
 
-// What the log says of it.
+// Log records.
 
 void CopyFetcher::note_origin(Core::ErrorOr<std::string> const& answer)
 {
-    // While it fails it is asked again and again: only a change is worth a line.
+    // Requests are repeated while the origin fails, so only the first failure and the first success after it are logged.
     bool const was_failing = std::exchange(m_is_origin_failing, !answer.has_value());
     if (!answer.has_value() && !was_failing)
         Core::log_event(Core::LogLevel::Warn, "origin_lost", { { "origin", m_goal->origin_address }, { "reason", answer.error().detail } });
--- a/Services/Weights/CopyFetcher.h
+++ b/Services/Weights/CopyFetcher.h
@@ -20,87 +20,97 @@
 
 namespace Weights {
 
+/// Settings of a CopyFetcher.
 struct CopyFetcherSettings {
+    /// Identity of this instance.
     std::string identity;
-    /// Port at which every instance serves chunks and manifests.
+    /// Port on which every instance serves chunks and manifests.
     uint16_t chunk_port { 0 };
-    /// This instance keeps the copy for others.
+    /// This instance is a cache: it keeps the copy only for other instances.
     bool is_cache { false };
     Distribution::TransferSettings transfer;
 };
 
-/// The other instances that a copy may come from.
+/// The identities of the instances that exchange a version's chunks.
 struct CopySources {
-    /// Those that want the version, this one among them if it does.
+    /// Instances that want the version, including this one if it does.
     std::vector<std::string> targets;
-    /// Those in this region, this one among them.
+    /// Instances in this region, including this one.
     std::vector<std::string> near;
-    /// Those that keep a copy for others.
+    /// Caches: instances that keep a copy for others.
     std::vector<std::string> caches;
 };
 
-/// Brings the chunks of one version here, from peers and the origin, verified; then those of the next version.
+/// Fetches and verifies the chunks of one version of a model's weights from peers and the origin, and of a newer version when it is set.
 ///
-/// An older version that is whole here is kept and told of for as long as some instance lacks it: one that is behind the
-/// others would else be left with the origin alone, which may be slow or gone.
+/// The previous version is kept and announced as long as some other instance lacks it. Otherwise an instance that is behind the others
+/// could read it only from the origin, which may be slow or unreachable.
 class CopyFetcher {
 public:
     struct Callbacks {
-        /// Chunks came, to be told to peers; also the first word on a version, with no chunk yet.
+        /// Announces newly held chunks to peers. The first announcement of a version may contain no chunk.
         std::function<void(Schema::PieceMap const&)> announce;
-        /// The same for far away peers, who need to know at once only of what came from the origin, and of the rest in time.
-        /// Null where all are told by `announce`.
+        /// Announces newly held chunks to peers in other regions. It is called at once for chunks read from the origin, and every 500 ms at
+        /// most for others. If null, `announce` serves the peers in all regions.
         std::function<void(Schema::PieceMap const&)> announce_far {};
-        /// The manifest of the version that is wanted is known. The transfer waits for `begin()`.
+        /// The manifest of the wanted version has been received. The transfer starts when `begin()` is called.
         std::function<void()> manifest_taken;
-        /// A chunk of the version is here.
+        /// The verified chunk with this index in the wanted version is held.
         std::function<void(size_t chunk)> chunk_held;
-        /// Whether a version's chunks are still needed here.
+        /// Returns whether this instance still needs a version's chunks.
         std::function<bool(int64_t version)> is_seeking;
-        /// Whether some other instance may still need a version that is older than the wanted one.
+        /// Returns whether some other instance may still need a version that is older than the wanted one.
         std::function<bool(int64_t version)> is_lacked;
-        /// Another version whose chunks this instance still uses, or null.
+        /// Returns another version whose chunks this instance still uses, or nullptr.
         std::function<Schema::VersionSpec const*()> also_used;
+        /// Returns the instances that currently take part in the exchange.
         std::function<CopySources()> sources;
     };
 
     CopyFetcher(Core::EventLoop&, CopyFetcherSettings, Core::Metrics&, Platform::WeightOrigin&, Callbacks);
     ~CopyFetcher();
 
-    /// Turns to a newer version, named at a time; what both versions have stays.
+    /// Sets the wanted version, which the operator named in the log records at `named_at`. Chunks that both versions have are kept. If the
+    /// version is the current one, only its other properties are updated.
     void set_goal(Schema::WeightsGoal const&, Core::Time named_at);
-    /// The instances have changed.
+    /// Queries the `sources` callback again after the instances have changed.
     void update_sources();
 
-    /// Takes a chunk that was found here. @return false if it is not the version's.
+    /// Adds a chunk of the wanted version from bytes that were found on this machine. The manifest must be known.
+    /// @return false if the bytes do not match the chunk's digest, or the chunk was already held.
     bool adopt(size_t chunk, std::string const& bytes);
-    /// Starts the transfer of what is missing.
+    /// Starts the transfer of the missing chunks. The manifest must be known.
     void begin();
 
-    /// Asks for what is due. To be called every few tens of milliseconds.
+    /// Requests the manifest, starts and cancels reads, and sends announcements, as they are due. Must be called every few tens of
+    /// milliseconds.
     void turn(Core::Time now);
-    /// Lets the older version go once nobody lacks it any more.
+    /// Drops the older version if no other instance lacks it any more.
     void drop_older_if_unneeded();
 
+    /// Records that a peer has announced chunks of a version.
     void on_peer_pieces(std::string const& peer, Schema::PieceMap const&);
+    /// Records that a peer can no longer be reached.
     void on_peer_down(std::string const& peer);
 
-    /// What is held here of the version that is wanted, once its manifest is known, and of the older one.
+    /// Returns the held chunks of the older version, if one is kept, and of the wanted version, if its manifest is known.
     std::vector<Schema::PieceMap> held() const;
     bool has_manifest() const { return m_wanted.has_value(); }
-    /// The version can be had: its manifest is here, or some instance has told of it.
+    /// Whether the version can be fetched: its manifest is known, or a peer has announced the version.
     bool is_under_way() const { return has_manifest() || (m_goal && !peers_with_manifest().empty()); }
-    /// How far the version is, to be weighed against a newer one.
+    /// Returns the state of the wanted version's transfer, for deciding whether a transfer of the version `newer` should wait for it.
     Distribution::TransferStand stand(int64_t newer, Core::Time now) const;
     bool is_complete() const { return m_transfer && m_transfer->is_complete(); }
+    /// The manifest and the chunks of the wanted version. has_manifest() must be true.
     Platform::Manifest const& manifest() const { return m_wanted->manifest; }
     Schema::VersionSpec const& spec() const { return m_wanted->spec; }
     Distribution::ChunkStore const& store() const { return m_store; }
-    /// Answers a peer's request for the manifest of a version; of the wanted one if it names none.
+    /// Answers a peer's request for the manifest of the version in the query parameter `version`, or of the wanted version if there is
+    /// none. Answers 404 if that manifest is not known.
     void serve_manifest(Transport::HttpExchange&) const;
 
 private:
-    /// A version whose chunks are known by their digests.
+    /// A version whose manifest, and thus the digests of its chunks, is known.
     struct KnownVersion {
         Platform::Manifest manifest;
         Schema::VersionSpec spec;
@@ -146,10 +156,10 @@
 
     std::optional<Schema::WeightsGoal> m_goal;
     Core::Time m_named_at { 0 };
-    // When this process turned to the version.
+    // When this process set the version as its goal.
     Core::Time m_turned_at { 0 };
     std::optional<KnownVersion> m_wanted;
-    // The version before that is kept for others, a whole one if there was one.
+    // A previous version that is kept for other instances. A complete one is not replaced by an incomplete one.
     std::optional<KnownVersion> m_older;
     Core::Time m_next_manifest_try { 0 };
     size_t m_manifest_tries { 0 };
@@ -158,11 +168,11 @@
     PeerChunks m_peer_chunks;
     std::map<uint64_t, std::unique_ptr<Download>> m_downloads;
     std::map<uint64_t, size_t> m_fetch_chunks;
-    // Reads of the origin under way, by fetch.
+    // The origin's ids of the reads from it that are in flight, by fetch id.
     std::map<uint64_t, uint64_t> m_origin_reads;
-    // Chunks that peers have not been told of yet.
+    // Chunks that were not announced to peers yet.
     std::vector<int64_t> m_unannounced;
-    // The same of far away peers, and whether some of it came from the origin.
+    // Chunks that were not announced to peers in other regions yet, and whether some of them came from the origin.
     std::vector<int64_t> m_unannounced_far;
     bool m_has_origin_news { false };
     Core::Time m_announced_far_at { 0 };
--- a/Services/Weights/CopyGoal.cpp
+++ b/Services/Weights/CopyGoal.cpp
@@ -21,7 +21,7 @@
     bool const is_present = m_present && goal.version == m_present->version && goal.model == m_present->model;
     if (is_present) {
         m_present = goal;
-        // Who told first may have just started, and not have known for how long it had been named.
+        // The first sender may have just started, and not have known when the version was named.
         m_named_at = std::min(m_named_at, named_at);
         m_fetcher.set_goal(goal, m_named_at);
         return false;
@@ -52,7 +52,7 @@
 {
     if (m_callbacks.turning)
         m_callbacks.turning(goal, named_at);
-    // What waited is older by now.
+    // The version that waited is older than this one.
     m_next.reset();
     m_present = goal;
     m_named_at = named_at;
--- a/Services/Weights/CopyGoal.h
+++ b/Services/Weights/CopyGoal.h
@@ -9,27 +9,31 @@
 
 namespace Weights {
 
-/// The version that a copy is brought to, and the newest named one while the transfer of that version goes on to its end.
+/// The version that a CopyFetcher fetches, and the newest version that the operator named in the log records, which may have to wait until
+/// the transfer of the current one is complete.
 class CopyGoal {
 public:
     struct Callbacks {
-        /// Whether a version is still needed here.
+        /// Returns whether this instance still needs a version.
         std::function<bool(int64_t version)> is_seeking;
-        /// The copy turns to another version, named at a time: the present one is still in place. May be empty.
+        /// The current version is about to be replaced by `next`, which was named at `named_at`. present() still returns the current one.
+        /// May be null.
         std::function<void(Schema::WeightsGoal const& next, Core::Time named_at)> turning;
     };
 
-    /// The fetcher outlives the goal.
+    /// The fetcher must outlive this object.
     CopyGoal(CopyFetcher&, Callbacks);
 
-    /// Takes a named version. An older one than the present is ignored; a newer one may have to wait.
-    /// @return whether the copy has turned to it.
+    /// Applies a named version. A version without chunks and origin, and one older than the current one, is ignored. A newer one replaces
+    /// the current one, or waits until its transfer is complete. For the current version, the earlier of both times is kept.
+    /// @return whether the version has replaced the current one.
     bool name(Schema::WeightsGoal const&, Core::Time named_at);
-    /// Turns to the version that waits, if it need not wait any longer.
+    /// Switches to the waiting version, if there is one that need not wait any longer.
     void take_next();
 
-    /// What the copy is brought to; nothing before a version is named.
+    /// The current version; std::nullopt before the first version is named.
     std::optional<Schema::WeightsGoal> const& present() const { return m_present; }
+    /// When the current version was named.
     Core::Time named_at() const { return m_named_at; }
 
 private:
--- a/Services/Weights/PeerChunks.cpp
+++ b/Services/Weights/PeerChunks.cpp
@@ -3,7 +3,7 @@
 
 namespace Weights {
 
-// A peer holds the version that it is after and one older whole one; the others allow for its word on what comes next.
+// A peer holds chunks of the version that it fetches and of one older version. The other two leave space for versions that follow.
 static constexpr size_t versions_remembered = 4;
 
 void PeerChunks::add(std::string const& peer, Schema::PieceMap const& map)
--- a/Services/Weights/TransferDefaults.cpp
+++ b/Services/Weights/TransferDefaults.cpp
@@ -4,11 +4,11 @@
 namespace Weights {
 
 static constexpr size_t fetches_in_flight = 6;
-// The copy is small and the bound on it short, so what nobody holds is asked of the origin soon.
+// A copy is small and its deadline is short, so chunks that no instance holds are soon read from the origin.
 static constexpr Core::Duration origin_patience { 400 };
 static constexpr Core::Duration longest_fault_wait { 1000 };
 static constexpr Core::Duration transfer_stall { 1200 };
-// A seeder's read takes a fifth of a second while four read; a few times as many may read after the origin was away.
+// A read takes 200 ms while four seeders read from the origin. A few times as many instances may read after an outage of the origin.
 static constexpr Core::Duration origin_stall { 2400 };
 static constexpr size_t rarity_sample = 1;
 
--- a/Services/Weights/TransferDefaults.h
+++ b/Services/Weights/TransferDefaults.h
@@ -5,7 +5,7 @@
 
 namespace Weights {
 
-/// How engines' copies are transferred, as far as agents and the entries that keep copies for them do it alike.
+/// Returns the transfer settings that the agents share with the entries that keep copies for them.
 Distribution::TransferSettings transfer_defaults();
 
 }
--- a/Tests/Weights/HeldBackOrigin.h
+++ b/Tests/Weights/HeldBackOrigin.h
@@ -8,7 +8,7 @@
 #include <string>
 #include <vector>
 
-/// An origin whose answers wait until the test delivers them. A version's chunks are its own but for the first.
+/// An origin whose answers wait until the test delivers them. The first chunk is the same in all versions, the others differ.
 class HeldBackOrigin final : public Platform::WeightOrigin {
 public:
     static constexpr size_t chunk_count = 3;
@@ -36,7 +36,7 @@
 
     std::set<uint64_t> const& cancelled() const { return m_cancelled; }
 
-    /// Answers that wait.
+    /// Number of answers that were not delivered yet.
     size_t waiting() const { return m_answers.size(); }
 
     void deliver_one()
--- a/Tests/Weights/TestCopyFetcher.cpp
+++ b/Tests/Weights/TestCopyFetcher.cpp
@@ -82,7 +82,7 @@
     EXPECT_EQ(m_announced_far[1], (std::set<int64_t> { 0, 1, 2 }));
 }
 
-// The origin would go on sending to nobody.
+// If reads are not cancelled, the origin keeps sending chunks that no instance needs.
 TEST_F(CopyFetcherTest, ReadsOfTheOriginEndWithTheVersionThatTheyWereFor)
 {
     turn_to(1);
@@ -96,7 +96,7 @@
     EXPECT_EQ(m_origin.cancelled().size(), reads);
 }
 
-// Every entry that asks the origin itself holds up the first chunks: 70 manifests take a fifth of the time of a copy.
+// Each entry that reads the manifest from the origin delays the first chunks: 70 manifests take a fifth of the time of a copy.
 TEST_F(CopyFetcherTest, AFewCachesReadTheManifestFromTheOrigin)
 {
     for (size_t i = 0; i < 40; ++i)
@@ -116,7 +116,7 @@
         fetcher.set_goal(goal, now);
         fetcher.turn(now);
         readers += origin.waiting();
-        // Where those few are lost, the others ask as well.
+        // The other caches also read from the origin later, in case those few are lost.
         fetcher.turn(now + Core::Duration(2000));
         EXPECT_GE(origin.waiting(), 1u) << identity;
     }
@@ -143,12 +143,12 @@
     EXPECT_EQ(maps[0].version, 1);
     EXPECT_EQ(maps[0].chunks, (std::vector<int64_t> { 0, 1, 2 }));
     EXPECT_EQ(maps[1].version, 2);
-    // Nobody needs it any more.
+    // No instance lacks version 1 any more.
     m_lacked = 0;
     m_fetcher.turn(Core::monotonic_now());
     EXPECT_EQ(m_fetcher.held().size(), 1u);
     EXPECT_FALSE(holds(1, 1));
-    EXPECT_TRUE(holds(1, 0)) << "the newer version has this chunk too";
+    EXPECT_TRUE(holds(1, 0)) << "the newer version has this chunk as well";
 }
 
 TEST_F(CopyFetcherTest, AVersionGivenUpHalfwayDoesNotReplaceAWholeOlderOne)
--- a/Tests/Weights/TestCopyGoal.cpp
+++ b/Tests/Weights/TestCopyGoal.cpp
@@ -42,7 +42,7 @@
         goal.version = version;
         goal.origin_address = "origin";
         goal.chunks = HeldBackOrigin::chunk_count;
-        // Far from its bound, whatever the machine does.
+        // An hour, so that the deadline does not matter on a slow machine.
         goal.bound_ms = 3600000;
         return m_goal.name(goal, Core::monotonic_now());
     }
@@ -96,7 +96,7 @@
     EXPECT_TRUE(name(3));
     m_goal.take_next();
     EXPECT_EQ(m_goal.present()->version, 3);
-    EXPECT_FALSE(name(2)) << "it is older";
+    EXPECT_FALSE(name(2)) << "version 2 is older than the current version 3";
     EXPECT_EQ(m_turned_to, (std::vector<int64_t> { 1, 3 }));
 }
 
@@ -109,7 +109,7 @@
     goal.chunks = HeldBackOrigin::chunk_count;
     goal.bound_ms = 8000;
     auto const now = Core::monotonic_now();
-    // The first to tell has just started and cannot date it; the next one followed the records.
+    // The first sender has just started and does not know when the version was named. The second has followed the log records.
     EXPECT_TRUE(m_goal.name(goal, now));
     m_goal.name(goal, now - Core::Duration(5000));
     EXPECT_EQ(m_goal.named_at(), now - Core::Duration(5000));
