--- a/Libraries/LibDistribution/ChunkStore.cpp
+++ b/Libraries/LibDistribution/ChunkStore.cpp
@@ -28,7 +28,7 @@
     return found == m_chunks.end() ? nullptr : found->second;
 }
 
-std::vector<int64_t> ChunkStore::held_of(Schema::VersionSpec const& version) const
+std::vector<int64_t> ChunkStore::held_chunk_indices(Schema::VersionSpec const& version) const
 {
     std::vector<int64_t> held;
     for (size_t i = 0; i < version.chunks.size(); ++i) {
--- a/Libraries/LibDistribution/ChunkStore.h
+++ b/Libraries/LibDistribution/ChunkStore.h
@@ -46,7 +46,7 @@
     bool holds(std::string const& digest) const { return m_chunks.contains(digest); }
 
     /// Returns the indices into the version's list of chunks of those that the store holds, ascending.
-    std::vector<int64_t> held_of(Schema::VersionSpec const&) const;
+    std::vector<int64_t> held_chunk_indices(Schema::VersionSpec const&) const;
 
     /// Removes every chunk that belongs to none of the versions.
     void keep_only(std::vector<Schema::VersionSpec const*> const&);
--- a/Libraries/LibDistribution/EngineControl.cpp
+++ b/Libraries/LibDistribution/EngineControl.cpp
@@ -28,13 +28,13 @@
 void EngineControl::on_status(Schema::EngineStatus const& status, Core::Time sent_at)
 {
     // A status that was requested before the last order was answered may not show the order's effect.
-    if (m_order_in_flight || sent_at < m_answered_at)
+    if (m_order_in_flight || sent_at < m_order_answered_at)
         return;
     m_status = status;
     m_fence = std::max(m_fence, status.fence);
     bool const has_settled = !status.loading;
     if (has_settled)
-        m_is_in_doubt = false;
+        m_is_order_outcome_unknown = false;
 }
 
 void EngineControl::on_unreachable()
@@ -49,18 +49,18 @@
         return;
     m_order_in_flight = false;
     m_is_draining_for_switch = false;
-    m_answered_at = now;
-    m_not_before = now + order_retry;
+    m_order_answered_at = now;
+    m_next_order_at = now + order_retry;
     m_status.reset();
     if (is_accepted)
         return;
-    m_is_in_doubt = true;
+    m_is_order_outcome_unknown = true;
     m_failed_orders += 1;
 }
 
 std::optional<Schema::Weights> EngineControl::serving() const
 {
-    if (!m_status || m_order_in_flight || m_is_in_doubt || m_status->loading || !m_status->serving)
+    if (!m_status || m_order_in_flight || m_is_order_outcome_unknown || m_status->loading || !m_status->serving)
         return {};
     auto const& reported = *m_status->serving;
     Schema::Weights weights;
@@ -79,7 +79,7 @@
 std::optional<EngineControl::Order> EngineControl::step(Core::Time now, size_t in_flight, bool may_switch)
 {
     bool const is_wanted = m_wanted && m_complete_digest == m_wanted->digest;
-    if (!is_wanted || m_order_in_flight || now < m_not_before)
+    if (!is_wanted || m_order_in_flight || now < m_next_order_at)
         return {};
     // Without a status the engine's highest fence is not known, and the engine could refuse the order as an outdated one.
     if (!m_status || m_status->loading || is_ready())
@@ -97,12 +97,12 @@
     return Order { m_fence, *m_wanted };
 }
 
-bool may_switch(std::string const& self, std::vector<std::string> const& ranked, std::vector<std::string> const& ready, size_t slack)
+bool may_switch(std::string const& self, std::vector<std::string> const& ranked, std::vector<std::string> const& ready, size_t max_switching)
 {
     size_t missing = 0;
     for (auto const& id : ranked) {
         if (id == self)
-            return missing < slack;
+            return missing < max_switching;
         if (std::find(ready.begin(), ready.end(), id) == ready.end())
             missing += 1;
     }
@@ -110,7 +110,7 @@
     return missing == 0;
 }
 
-size_t switch_slack(size_t replicas)
+size_t max_instances_switching(size_t replicas)
 {
     return std::max<size_t>(1, replicas / 4);
 }
--- a/Libraries/LibDistribution/EngineControl.h
+++ b/Libraries/LibDistribution/EngineControl.h
@@ -67,10 +67,10 @@
     bool m_order_in_flight { false };
     bool m_is_draining_for_switch { false };
     // An order that was not accepted may still take effect: its answer may have been lost.
-    bool m_is_in_doubt { false };
+    bool m_is_order_outcome_unknown { false };
     uint64_t m_failed_orders { 0 };
-    Core::Time m_not_before { 0 };
-    Core::Time m_answered_at { 0 };
+    Core::Time m_next_order_at { 0 };
+    Core::Time m_order_answered_at { 0 };
 };
 
 /// Returns whether an instance may stop serving to switch to the rollout's new version.
@@ -78,9 +78,9 @@
 /// Fewer than `slack` of the instances ranked before `self` may still be without the new version. Thus at most `slack` instances are out of
 /// service at once, and all others serve either the old version or the new one.
 /// An instance that is not in `ranked` may switch only when all in `ranked` are ready.
-bool may_switch(std::string const& self, std::vector<std::string> const& ranked, std::vector<std::string> const& ready, size_t slack);
+bool may_switch(std::string const& self, std::vector<std::string> const& ranked, std::vector<std::string> const& ready, size_t max_switching);
 
 /// Returns how many of a rollout's instances may be out of service at once during a switch: a quarter, but at least one.
-size_t switch_slack(size_t replicas);
+size_t max_instances_switching(size_t replicas);
 
 }
--- a/Libraries/LibDistribution/Neighbours.cpp
+++ b/Libraries/LibDistribution/Neighbours.cpp
@@ -8,7 +8,7 @@
 
 namespace Distribution {
 
-std::vector<std::string> choose_neighbours(NeighbourCandidate const& self, std::vector<NeighbourCandidate> const& others, size_t count, size_t widen)
+std::vector<std::string> choose_neighbours(NeighbourCandidate const& self, std::vector<NeighbourCandidate> const& others, size_t count, size_t extra_count)
 {
     struct Scored {
         int distance;
@@ -23,15 +23,15 @@
                                                                                                            : 2;
         scored.push_back({ distance, Core::stable_hash(self.id, other.id), other.id });
     }
-    auto const wanted = std::min(count + widen, scored.size());
-    auto const near = wanted / 2;
+    auto const wanted = std::min(count + extra_count, scored.size());
+    auto const closest_count = wanted / 2;
     auto by_distance = [](Scored const& a, Scored const& b) { return std::pair(a.distance, a.score) < std::pair(b.distance, b.score); };
     std::sort(scored.begin(), scored.end(), by_distance);
     std::vector<std::string> chosen;
-    for (size_t i = 0; i < near; ++i)
+    for (size_t i = 0; i < closest_count; ++i)
         chosen.push_back(scored[i].id);
-    std::sort(scored.begin() + static_cast<ptrdiff_t>(near), scored.end(), [](auto const& a, auto const& b) { return a.score < b.score; });
-    for (size_t i = near; i < wanted; ++i)
+    std::sort(scored.begin() + static_cast<ptrdiff_t>(closest_count), scored.end(), [](auto const& a, auto const& b) { return a.score < b.score; });
+    for (size_t i = closest_count; i < wanted; ++i)
         chosen.push_back(scored[i].id);
     return chosen;
 }
--- a/Libraries/LibDistribution/Neighbours.h
+++ b/Libraries/LibDistribution/Neighbours.h
@@ -16,6 +16,6 @@
 /// Returns the ids of the peers that an instance keeps a link to in order to exchange chunks: `count` + `widen` of them, or all if there
 /// are fewer. Half are the closest (same failure domain first, then same region), the others are from anywhere; both halves are chosen by
 /// rendezvous hashing. `widen` is above zero when the neighbours so far have had nothing to offer.
-std::vector<std::string> choose_neighbours(NeighbourCandidate const& self, std::vector<NeighbourCandidate> const& others, size_t count, size_t widen);
+std::vector<std::string> choose_neighbours(NeighbourCandidate const& self, std::vector<NeighbourCandidate> const& others, size_t count, size_t extra_count);
 
 }
--- a/Libraries/LibDistribution/PeerGroup.cpp
+++ b/Libraries/LibDistribution/PeerGroup.cpp
@@ -8,7 +8,7 @@
 
 std::vector<Schema::GoalPeer> peer_group(std::vector<Schema::GoalPeer> const& peers, std::string const& failure_domain, std::map<std::string, std::string> const& regions)
 {
-    if (peers.size() <= largest_whole_group)
+    if (peers.size() <= max_undivided_group_size)
         return peers;
     auto const region_of = [&regions](std::string const& domain) {
         auto const region = regions.find(domain);
--- a/Libraries/LibDistribution/ReadRanks.cpp
+++ b/Libraries/LibDistribution/ReadRanks.cpp
@@ -9,7 +9,7 @@
 
 // An instance that is not a cache may have just started and know only a few of the caches that read from the origin. It never gets a
 // lower rank than this, so that it waits long enough for the caches that it does not know.
-static constexpr size_t least_rank_behind_caches = 16;
+static constexpr size_t min_rank_behind_caches = 16;
 
 static bool contains(std::vector<std::string> const& instances, std::string const& instance)
 {
@@ -22,7 +22,7 @@
     , m_version_digest(version.digest)
     , m_targets(std::move(targets))
     , m_origin_ranks(version.chunks.size())
-    , m_far_ranks(version.chunks.size())
+    , m_cross_region_ranks(version.chunks.size())
 {
     for (auto const& chunk : version.chunks)
         m_digests.push_back(chunk.digest);
@@ -35,10 +35,10 @@
     rank_origin_reads();
 }
 
-void ReadRanks::set_near(std::vector<std::string> const& near)
+void ReadRanks::set_region_instances(std::vector<std::string> const& region_instances)
 {
-    m_near = { near.begin(), near.end() };
-    rank_far_reads();
+    m_region_instances = { region_instances.begin(), region_instances.end() };
+    rank_cross_region_reads();
 }
 
 void ReadRanks::set_caches(std::vector<std::string> caches)
@@ -47,7 +47,7 @@
         return;
     m_caches = std::move(caches);
     rank_origin_reads();
-    rank_far_reads();
+    rank_cross_region_reads();
 }
 
 bool ReadRanks::is_cache(std::string const& instance) const
@@ -89,10 +89,10 @@
     bool const is_own = chunk % size == position - begin;
     auto const rank = is_own ? begin : end;
     bool const has_caches_before = !m_caches.empty() && !is_cache(m_self);
-    return has_caches_before ? std::max(rank, least_rank_behind_caches) : rank;
+    return has_caches_before ? std::max(rank, min_rank_behind_caches) : rank;
 }
 
-bool ReadRanks::stands_in_beside(std::string const& peer) const
+bool ReadRanks::is_in_same_backup_group(std::string const& peer) const
 {
     // Caches receive announcements directly from every reader of the origin. Other instances also receive announcements from peers that got
     // the chunk from another peer.
@@ -100,15 +100,15 @@
     return m_best_origin_rank > 0 && are_both_caches && group_begin(position_of(peer)) == m_best_origin_rank;
 }
 
-void ReadRanks::rank_far_reads()
+void ReadRanks::rank_cross_region_reads()
 {
-    std::vector<std::string> near_caches;
+    std::vector<std::string> region_caches;
     std::vector<std::string> others;
-    for (auto const& instance : m_near)
-        (is_cache(instance) ? near_caches : others).push_back(instance);
-    bool const is_near_cache = contains(near_caches, m_self);
+    for (auto const& instance : m_region_instances)
+        (is_cache(instance) ? region_caches : others).push_back(instance);
+    bool const is_region_cache = contains(region_caches, m_self);
     for (size_t i = 0; i < m_digests.size(); ++i)
-        m_far_ranks[i] = is_near_cache ? rank_among(near_caches, m_digests[i]) : near_caches.size() + rank_among(others, m_digests[i]);
+        m_cross_region_ranks[i] = is_region_cache ? rank_among(region_caches, m_digests[i]) : region_caches.size() + rank_among(others, m_digests[i]);
 }
 
 size_t ReadRanks::rank_among(std::vector<std::string> const& instances, std::string const& digest) const
--- a/Libraries/LibDistribution/ReadRanks.h
+++ b/Libraries/LibDistribution/ReadRanks.h
@@ -24,24 +24,24 @@
 
     void set_targets(std::vector<std::string> targets);
     /// Sets the instances of this region, including this one. If empty, no instance counts as being in another region.
-    void set_near(std::vector<std::string> const& near);
+    void set_region_instances(std::vector<std::string> const& region_instances);
     /// Sets the instances that keep a copy of the version for others without serving it.
     void set_caches(std::vector<std::string> caches);
 
     /// This instance's rank for reading a chunk from the origin. Rank 0 reads it without waiting.
     size_t origin_rank(size_t chunk) const { return m_origin_ranks[chunk]; }
     /// Whether this instance and the peer are both caches in the same backup group, so that they replace the same readers of the origin.
-    bool stands_in_beside(std::string const& peer) const;
+    bool is_in_same_backup_group(std::string const& peer) const;
     /// This instance's lowest rank for any chunk; 0 for a seeder.
     size_t best_origin_rank() const { return m_best_origin_rank; }
 
     /// This instance's rank, among those of its region, for reading a chunk from another region. Rank 0 reads it without waiting.
-    size_t far_rank(size_t chunk) const { return m_far_ranks[chunk]; }
+    size_t cross_region_rank(size_t chunk) const { return m_cross_region_ranks[chunk]; }
 
     bool is_first_target() const { return !m_targets.empty() && m_targets.front() == m_self; }
-    /// Whether regions are ignored, because set_near() has set none.
-    bool are_all_near() const { return m_near.empty(); }
-    bool is_near(std::string const& instance) const { return m_near.contains(instance); }
+    /// Whether regions are ignored, because set_region_instances() has set none.
+    bool ignores_regions() const { return m_region_instances.empty(); }
+    bool is_in_region(std::string const& instance) const { return m_region_instances.contains(instance); }
     bool is_cache(std::string const& instance) const;
     std::vector<std::string> const& caches() const { return m_caches; }
 
@@ -51,7 +51,7 @@
     size_t group_begin(size_t position) const;
     size_t position_of(std::string const& reader) const;
     size_t rank_at(size_t position, size_t chunk) const;
-    void rank_far_reads();
+    void rank_cross_region_reads();
     size_t rank_among(std::vector<std::string> const&, std::string const& digest) const;
 
     std::string m_self;
@@ -59,14 +59,14 @@
     std::string m_version_digest;
     std::vector<std::string> m_digests;
     std::vector<std::string> m_targets;
-    std::set<std::string> m_near;
+    std::set<std::string> m_region_instances;
     std::vector<std::string> m_caches;
     // All instances that may read from the origin, the seeders first.
     std::vector<std::string> m_readers;
     size_t m_seeder_count { 1 };
     size_t m_best_origin_rank { 0 };
     std::vector<size_t> m_origin_ranks;
-    std::vector<size_t> m_far_ranks;
+    std::vector<size_t> m_cross_region_ranks;
 };
 
 }
--- a/Libraries/LibDistribution/RolloutTally.cpp
+++ b/Libraries/LibDistribution/RolloutProgress.cpp
@@ -1,5 +1,5 @@
 // SPDX-License-Identifier: BSD-2-Clause
-#include <LibDistribution/RolloutTally.h>
+#include <LibDistribution/RolloutProgress.h>
 
 #include <LibSchema/Json.h>
 
@@ -15,7 +15,7 @@
     return bytes;
 }
 
-void RolloutTally::on_configuration(Configuration::Fold const& fold, Core::Time now)
+void RolloutProgress::on_configuration(Configuration::Fold const& fold, Core::Time now)
 {
     m_generation += 1;
     std::erase_if(m_rollouts, [&](auto const& entry) { return !fold.rollouts().contains(entry.first); });
@@ -34,7 +34,7 @@
     }
 }
 
-void RolloutTally::on_report(std::string const& instance, int64_t incarnation, Schema::Report const& report, Core::Time now)
+void RolloutProgress::on_report(std::string const& instance, int64_t incarnation, Schema::Report const& report, Core::Time now)
 {
     for (auto& [name, rollout] : m_rollouts) {
         bool const is_followed = report.progress && report.progress->rollout == name && report.progress->revision == rollout.revision;
@@ -46,11 +46,11 @@
         m_generation += 1;
         rollout.progress[instance] = *report.progress;
         rollout.bytes[{ instance, incarnation }] = { report.progress->origin_bytes, report.progress->peer_bytes };
-        note_times(rollout, now);
+        record_ready_times(rollout, now);
     }
 }
 
-void RolloutTally::note_times(Rollout& rollout, Core::Time now)
+void RolloutProgress::record_ready_times(Rollout& rollout, Core::Time now)
 {
     int64_t ready = 0;
     for (auto const& [instance, progress] : rollout.progress)
@@ -64,14 +64,14 @@
         rollout.to_all = elapsed;
 }
 
-void RolloutTally::on_gone(std::string const& instance)
+void RolloutProgress::on_instance_lost(std::string const& instance)
 {
     m_generation += 1;
     for (auto& [name, rollout] : m_rollouts)
         rollout.progress.erase(instance);
 }
 
-std::vector<std::string> RolloutTally::ready(std::string const& name) const
+std::vector<std::string> RolloutProgress::ready(std::string const& name) const
 {
     std::vector<std::string> ready;
     auto found = m_rollouts.find(name);
@@ -84,7 +84,7 @@
     return ready;
 }
 
-std::optional<Schema::RolloutStatus> RolloutTally::status(std::string const& name) const
+std::optional<Schema::RolloutStatus> RolloutProgress::status(std::string const& name) const
 {
     auto found = m_rollouts.find(name);
     if (found == m_rollouts.end())
--- a/Libraries/LibDistribution/RolloutTally.h
+++ b/Libraries/LibDistribution/RolloutProgress.h
@@ -12,7 +12,7 @@
 namespace Distribution {
 
 /// The progress of every rollout, as an entry computes it from the reports of its agents.
-class RolloutTally {
+class RolloutProgress {
 public:
     /// Applies a new state of the configuration. A rollout's revision that appears for the first time starts its time measurements at
     /// `now`, and rollouts that were removed are dropped.
@@ -21,7 +21,7 @@
     /// Applies an agent's report. `incarnation` identifies the start of the agent: the byte counters in its reports begin anew with each.
     void on_report(std::string const& instance, int64_t incarnation, Schema::Report const&, Core::Time now);
     /// Removes an instance that no longer answers. The bytes that it has read stay in the totals.
-    void on_gone(std::string const& instance);
+    void on_instance_lost(std::string const& instance);
 
     /// Returns the ids of the instances that serve the current revision of a rollout, sorted. Empty if there is no such rollout.
     std::vector<std::string> ready(std::string const& rollout) const;
@@ -52,7 +52,7 @@
         std::map<std::pair<std::string, int64_t>, Bytes> bytes;
     };
 
-    void note_times(Rollout&, Core::Time now);
+    void record_ready_times(Rollout&, Core::Time now);
 
     std::map<std::string, Rollout> m_rollouts;
     uint64_t m_generation { 0 };
--- a/Libraries/LibDistribution/StagedLoad.cpp
+++ b/Libraries/LibDistribution/StagedLoad.cpp
@@ -24,13 +24,13 @@
     m_chunks[chunk].is_held = true;
 }
 
-void StagedLoad::on_staged(size_t chunk, bool is_done)
+void StagedLoad::on_staged(size_t chunk, bool has_succeeded)
 {
     auto& state = m_chunks[chunk];
     state.is_in_call = false;
-    state.is_staged = is_done;
-    state.is_call_overtaken = false;
-    state.right_at.reset();
+    state.is_staged = has_succeeded;
+    state.is_call_outdated = false;
+    state.verified_at.reset();
     m_calls -= 1;
 }
 
@@ -40,15 +40,15 @@
     state.is_in_call = false;
     m_calls -= 1;
     // The staged chunk may have been lost when the engine restarted after the read-back was sent.
-    if (std::exchange(state.is_call_overtaken, false))
+    if (std::exchange(state.is_call_outdated, false))
         return;
     if (is_right) {
-        state.right_at = now;
+        state.verified_at = now;
         return;
     }
-    state.right_at.reset();
+    state.verified_at.reset();
     state.is_staged = false;
-    m_bad += 1;
+    m_corrupt_count += 1;
 }
 
 void StagedLoad::on_report(Platform::EngineReport const& report, int64_t layers, Core::Time now)
@@ -59,14 +59,14 @@
     }
     if (is_restart(report))
         begin_incarnation();
-    bool const has_answered = m_ordered_at && !report.is_busy && now - *m_ordered_at >= m_settings.order_patience;
+    bool const has_order_wait_ended = m_order_wait_since && !report.is_busy && now - *m_order_wait_since >= m_settings.order_result_timeout;
     m_report = report;
     if (report.started_at_ms)
         m_started_at_ms = report.started_at_ms;
     // An engine that holds a newer version was ordered to load it by someone else. It is never ordered back to this older version.
     m_is_serving = Configuration::whole_version(report.held, layers) >= m_version;
-    if (m_is_serving || has_answered)
-        m_ordered_at.reset();
+    if (m_is_serving || has_order_wait_ended)
+        m_order_wait_since.reset();
 }
 
 bool StagedLoad::is_restart(Platform::EngineReport const& report) const
@@ -80,12 +80,12 @@
 
 void StagedLoad::begin_incarnation()
 {
-    m_ordered_at.reset();
+    m_order_wait_since.reset();
     m_draining_since.reset();
-    m_is_order_overtaken = m_is_ordering;
+    m_is_order_outdated = m_is_ordering;
     for (auto& chunk : m_chunks) {
-        chunk.is_call_overtaken = chunk.is_in_call;
-        chunk.right_at.reset();
+        chunk.is_call_outdated = chunk.is_in_call;
+        chunk.verified_at.reset();
     }
 }
 
@@ -100,16 +100,16 @@
     m_is_ordering = false;
     // The incarnation that the order was sent to has ended. If the new incarnation has accepted the order after all, its report shows that,
     // and its changed sequence number keeps the next order from taking effect as well.
-    if (std::exchange(m_is_order_overtaken, false))
+    if (std::exchange(m_is_order_outdated, false))
         return;
     // After a refusal, only a newer report is needed for the next order.
     if (outcome == Platform::OrderOutcome::Refused) {
-        m_ordered_at.reset();
+        m_order_wait_since.reset();
         m_report.reset();
         return;
     }
-    // If there was no answer, the time spent waiting for it counts towards `order_patience`.
-    m_ordered_at = outcome == Platform::OrderOutcome::Unknown ? m_order_sent_at : now;
+    // If there was no answer, the time spent waiting for it counts towards `order_result_timeout`.
+    m_order_wait_since = outcome == Platform::OrderOutcome::Unknown ? m_order_sent_at : now;
 }
 
 bool StagedLoad::is_complete() const
@@ -140,7 +140,7 @@
 {
     for (size_t i = 0; i < m_chunks.size(); ++i) {
         auto& chunk = m_chunks[i];
-        bool const is_right = chunk.right_at && now - *chunk.right_at < m_settings.read_back_holds;
+        bool const is_right = chunk.verified_at && now - *chunk.verified_at < m_settings.read_back_validity;
         if (is_right || chunk.is_in_call)
             continue;
         chunk.is_in_call = true;
@@ -151,58 +151,58 @@
     return false;
 }
 
-bool StagedLoad::is_read_back(Core::Time now) const
+bool StagedLoad::are_all_read_back(Core::Time now) const
 {
     return std::all_of(m_chunks.begin(), m_chunks.end(), [&](auto const& chunk) {
-        return chunk.right_at && now - *chunk.right_at < m_settings.read_back_holds;
+        return chunk.verified_at && now - *chunk.verified_at < m_settings.read_back_validity;
     });
 }
 
-std::optional<Platform::LoadManner> StagedLoad::manner(Core::Time now, SwitchTerms const& terms)
+std::optional<Platform::LoadManner> StagedLoad::load_manner(Core::Time now, SwitchPermissions const& permissions)
 {
     bool const serves_something = !m_report->held.empty();
     if (!serves_something)
         return Platform::LoadManner::WaitForRunning;
-    if (!terms.may_switch && !m_draining_since)
+    if (!permissions.may_switch && !m_draining_since)
         return {};
     if (!m_draining_since)
         m_draining_since = now;
     auto const drained_for = now - *m_draining_since;
     // Requests that entries sent before they received the message of the drain may still arrive.
-    if (drained_for < m_settings.notice)
+    if (drained_for < m_settings.drain_notice_time)
         return {};
     auto const left = m_report->running + m_report->waiting;
-    if (left == 0 || !terms.may_evict)
+    if (left == 0 || !permissions.may_evict)
         return Platform::LoadManner::WaitForRunning;
-    auto const patience = left <= m_settings.few_running ? m_settings.few_patience : m_settings.drain_patience;
+    auto const patience = left <= m_settings.few_requests ? m_settings.few_requests_drain_timeout : m_settings.drain_timeout;
     if (drained_for < patience)
         return {};
     return Platform::LoadManner::EvictRunning;
 }
 
-std::vector<LoadAction> StagedLoad::step(Core::Time now, SwitchTerms terms)
+std::vector<LoadAction> StagedLoad::step(Core::Time now, SwitchPermissions permissions)
 {
     std::vector<LoadAction> actions;
     bool has_more = true;
-    while (has_more && m_calls < m_settings.calls_at_once)
+    while (has_more && m_calls < m_settings.max_calls_in_flight)
         has_more = stage_next(actions);
-    bool const wants_load = m_report && !m_report->is_busy && !m_is_serving && !m_is_ordering && !m_ordered_at && is_complete();
-    if (!wants_load) {
+    bool const needs_load = m_report && !m_report->is_busy && !m_is_serving && !m_is_ordering && !m_order_wait_since && is_complete();
+    if (!needs_load) {
         if (m_is_serving)
             m_draining_since.reset();
         return actions;
     }
-    auto const how = manner(now, terms);
-    bool const is_due = how.has_value() || m_draining_since.has_value();
-    if (how && is_read_back(now)) {
+    auto const load_manner_now = load_manner(now, permissions);
+    bool const is_due = load_manner_now.has_value() || m_draining_since.has_value();
+    if (load_manner_now && are_all_read_back(now)) {
         m_is_ordering = true;
         m_order_sent_at = now;
         m_draining_since.reset();
-        actions.emplace_back(OrderLoad { m_report->order_sequence, *how });
+        actions.emplace_back(OrderLoad { m_report->order_sequence, *load_manner_now });
         return actions;
     }
     has_more = is_due;
-    while (has_more && m_calls < m_settings.calls_at_once)
+    while (has_more && m_calls < m_settings.max_calls_in_flight)
         has_more = read_back_next(now, actions);
     return actions;
 }
--- a/Libraries/LibDistribution/StagedLoad.h
+++ b/Libraries/LibDistribution/StagedLoad.h
@@ -34,23 +34,23 @@
 /// Limits and timeouts of a StagedLoad. Durations are in milliseconds.
 struct StagedLoadSettings {
     /// Maximum number of stage and read-back calls in flight.
-    size_t calls_at_once { 4 };
+    size_t max_calls_in_flight { 4 };
     /// A read-back older than this no longer counts, since the staged chunk may have become corrupt since then.
-    Core::Duration read_back_holds { 1500 };
+    Core::Duration read_back_validity { 1500 };
     /// How long to wait for a report that shows whether an order took effect, counted from the answer to the order, or from its sending
     /// if there was no answer.
-    Core::Duration order_patience { 1500 };
+    Core::Duration order_result_timeout { 1500 };
     /// Time for the entries to receive the message that an engine accepts no more requests.
-    Core::Duration notice { 150 };
+    Core::Duration drain_notice_time { 150 };
     /// How long the requests on a draining engine may run to their end before the rest are evicted, if eviction is allowed.
-    Core::Duration drain_patience { 700 };
-    /// If at most `few_running` requests are left, they are evicted after `few_patience` already.
-    int64_t few_running { 5 };
-    Core::Duration few_patience { 300 };
+    Core::Duration drain_timeout { 700 };
+    /// If at most `few_requests` requests are left, they are evicted after `few_requests_drain_timeout` already.
+    int64_t few_requests { 5 };
+    Core::Duration few_requests_drain_timeout { 300 };
 };
 
 /// Whether and how an engine that serves a version may be taken out of service to load another one.
-struct SwitchTerms {
+struct SwitchPermissions {
     /// The engine may be drained.
     bool may_switch { true };
     /// Requests that still run after the drain timeout may be evicted from the engine.
@@ -64,7 +64,7 @@
 /// Decides which chunks of one version are written to an engine's staging area, and when the engine is ordered to load them.
 ///
 /// An order is sent only when every chunk of the version is staged and was read back with the right digest within the last
-/// `read_back_holds`. An order without an answer may have been accepted: the engine's next report shows it, and the sequence number that
+/// `read_back_validity`. An order without an answer may have been accepted: the engine's next report shows it, and the sequence number that
 /// the next order expects keeps two orders from both taking effect. An engine may restart under its identity: answers from before the
 /// restart then no longer count, but the staged chunks may still be there.
 class StagedLoad {
@@ -77,7 +77,7 @@
     /// Records that this instance holds the chunk's verified bytes, so that the chunk can be staged.
     void on_held(size_t chunk);
     /// Records the result of a StageChunk action.
-    void on_staged(size_t chunk, bool is_done);
+    void on_staged(size_t chunk, bool has_succeeded);
     /// Records the result of a ReadBackChunk action: whether the bytes had the right digest. A chunk that had not is staged again.
     void on_read_back(size_t chunk, bool is_right, Core::Time now);
     /// Applies an engine's report. `layers` is the number of layers of the model, all of which the engine must hold to serve a version.
@@ -90,16 +90,16 @@
     void on_ordered(Platform::OrderOutcome, Core::Time now);
 
     /// Returns the actions to start now. The caller reports the result of each through on_staged(), on_read_back() or on_ordered().
-    std::vector<LoadAction> step(Core::Time now, SwitchTerms = {});
+    std::vector<LoadAction> step(Core::Time now, SwitchPermissions = {});
 
     /// Whether the engine reports that it holds all layers of this version or of a newer one.
     bool is_serving() const { return m_is_serving; }
     /// Whether no new request should be sent to the engine, because it is being drained for an order or an order is in progress.
-    bool is_switching() const { return m_draining_since.has_value() || m_is_ordering || m_ordered_at.has_value(); }
+    bool is_switching() const { return m_draining_since.has_value() || m_is_ordering || m_order_wait_since.has_value(); }
     /// Number of chunks whose verified bytes this instance holds.
     size_t held_count() const;
     /// Number of read-backs that found a wrong digest.
-    uint64_t bad_count() const { return m_bad; }
+    uint64_t corrupt_count() const { return m_corrupt_count; }
 
 private:
     struct Chunk {
@@ -107,9 +107,9 @@
         bool is_staged { false };
         bool is_in_call { false };
         /// The engine has restarted since the call was sent.
-        bool is_call_overtaken { false };
+        bool is_call_outdated { false };
         /// When the chunk was last read back with the right digest.
-        std::optional<Core::Time> right_at;
+        std::optional<Core::Time> verified_at;
     };
 
     /// Whether the report shows that the engine has restarted since its last report.
@@ -118,8 +118,8 @@
     bool is_complete() const;
     bool stage_next(std::vector<LoadAction>&);
     bool read_back_next(Core::Time now, std::vector<LoadAction>&);
-    bool is_read_back(Core::Time now) const;
-    std::optional<Platform::LoadManner> manner(Core::Time now, SwitchTerms const&);
+    bool are_all_read_back(Core::Time now) const;
+    std::optional<Platform::LoadManner> load_manner(Core::Time now, SwitchPermissions const&);
 
     int64_t m_version;
     StagedLoadSettings m_settings;
@@ -131,12 +131,12 @@
     bool m_is_serving { false };
     bool m_is_ordering { false };
     // The engine has restarted since the order in flight was sent.
-    bool m_is_order_overtaken { false };
+    bool m_is_order_outdated { false };
     Core::Time m_order_sent_at { 0 };
     // Start of the wait for a report that shows whether the last order took effect; empty if there is no such wait.
-    std::optional<Core::Time> m_ordered_at;
+    std::optional<Core::Time> m_order_wait_since;
     std::optional<Core::Time> m_draining_since;
-    uint64_t m_bad { 0 };
+    uint64_t m_corrupt_count { 0 };
 };
 
 }
--- a/Libraries/LibDistribution/Transfer.cpp
+++ b/Libraries/LibDistribution/Transfer.cpp
@@ -15,12 +15,12 @@
 static constexpr int64_t slow_reads_per_stall = 8;
 
 // While its own reads from the origin fail, a backup reader doubles its wait up to this many times.
-static constexpr int64_t most_patience_doublings = 3;
+static constexpr int64_t max_wait_doublings = 3;
 
-/// Returns how many waits of `origin_patience` or `far_patience` an instance of this rank lets pass before it reads in place of those
+/// Returns how many waits of `origin_wait` or `cross_region_wait` an instance of this rank lets pass before it reads in place of those
 /// before it. With each wait twice as many instances may read: if hundreds are lost, the first remaining one reads after a few waits, and
 /// seldom do more than a few read at once.
-static int64_t patience_steps(size_t rank)
+static int64_t wait_steps(size_t rank)
 {
     return static_cast<int64_t>(std::bit_width(rank));
 }
@@ -29,8 +29,8 @@
     : m_ranks(version, std::move(self), std::move(targets), settings.seeders)
     , m_settings(settings)
     , m_random(seed)
-    , m_faults(settings.longest_fault_wait)
-    , m_last_useful(now)
+    , m_backoff(settings.max_peer_backoff)
+    , m_last_completed_at(now)
 {
     m_chunks.resize(version.chunks.size());
     for (auto& chunk : m_chunks)
@@ -47,14 +47,14 @@
     m_ranks.set_targets(std::move(targets));
 }
 
-void Transfer::set_near(std::vector<std::string> const& near)
+void Transfer::set_region_instances(std::vector<std::string> const& region_instances)
 {
-    m_ranks.set_near(near);
+    m_ranks.set_region_instances(region_instances);
     for (auto& chunk : m_chunks)
-        chunk.near_holders = 0;
+        chunk.region_holders = 0;
     for (auto const& [id, peer] : m_peers) {
         for (auto chunk : peer.chunks)
-            m_chunks[chunk].near_holders += m_ranks.is_near(id) ? 1 : 0;
+            m_chunks[chunk].region_holders += m_ranks.is_in_region(id) ? 1 : 0;
     }
 }
 
@@ -74,18 +74,18 @@
         if (!state.chunks.insert(chunk).second)
             continue;
         if (m_chunks[chunk].holders == 0 && !m_chunks[chunk].is_held)
-            join_stand_ins(peer);
+            join_backup_readers(peer);
         m_chunks[chunk].holders += 1;
-        m_chunks[chunk].near_holders += m_ranks.is_near(peer) ? 1 : 0;
+        m_chunks[chunk].region_holders += m_ranks.is_in_region(peer) ? 1 : 0;
     }
 }
 
 /// The first holder of a chunk has most likely read it from the origin. If it is a backup reader, the readers before its group are lost,
 /// and the other members of its group read as well without a further wait.
-void Transfer::join_stand_ins(std::string const& reader)
+void Transfer::join_backup_readers(std::string const& reader)
 {
-    if (m_ranks.stands_in_beside(reader))
-        m_origin_steps_waited = std::max(m_origin_steps_waited, patience_steps(m_ranks.best_origin_rank()));
+    if (m_ranks.is_in_same_backup_group(reader))
+        m_origin_steps_waited = std::max(m_origin_steps_waited, wait_steps(m_ranks.best_origin_rank()));
 }
 
 void Transfer::on_peer_lost(std::string const& peer)
@@ -95,12 +95,12 @@
         return;
     for (auto chunk : found->second.chunks) {
         m_chunks[chunk].holders -= 1;
-        m_chunks[chunk].near_holders -= m_ranks.is_near(peer) ? 1 : 0;
+        m_chunks[chunk].region_holders -= m_ranks.is_in_region(peer) ? 1 : 0;
         if (m_chunks[chunk].holders == 0)
-            m_chunks[chunk].without_holder_since = m_last_useful;
+            m_chunks[chunk].without_holder_since = m_last_completed_at;
     }
     m_peers.erase(found);
-    m_faults.forget(peer);
+    m_backoff.forget(peer);
 }
 
 void Transfer::on_progress(uint64_t fetch, Core::Time now)
@@ -129,10 +129,10 @@
     if (found == m_running.end())
         return;
     auto const running = found->second;
-    auto const bytes_lasted = running.first_bytes ? std::optional(now - *running.first_bytes) : std::nullopt;
-    m_times.on_fetched(now - running.started, bytes_lasted, m_running.size());
-    m_last_useful = now;
-    m_faults.on_fetched(running.source);
+    auto const first_to_last_byte = running.first_bytes ? std::optional(now - *running.first_bytes) : std::nullopt;
+    m_times.on_fetched(now - running.started, first_to_last_byte, m_running.size());
+    m_last_completed_at = now;
+    m_backoff.on_fetched(running.source);
     if (running.source.is_origin())
         m_origin_failures = 0;
     end_fetch(fetch);
@@ -154,16 +154,16 @@
         auto peer = m_peers.find(running.source.peer);
         if (peer != m_peers.end() && peer->second.chunks.erase(running.chunk) > 0) {
             m_chunks[running.chunk].holders -= 1;
-            m_chunks[running.chunk].near_holders -= m_ranks.is_near(running.source.peer) ? 1 : 0;
+            m_chunks[running.chunk].region_holders -= m_ranks.is_in_region(running.source.peer) ? 1 : 0;
             m_chunks[running.chunk].without_holder_since = now;
         }
         if (!running.source.is_origin())
             return;
     }
-    punish(running.source, failure, now);
+    back_off_from(running.source, failure, now);
 }
 
-void Transfer::punish(Source const& source, FetchFailure failure, Core::Time now)
+void Transfer::back_off_from(Source const& source, FetchFailure failure, Core::Time now)
 {
     if (source.is_origin() && failure == FetchFailure::Unreachable) {
         // Chunks missing during a failure of the origin do not mean that the readers before this one are lost. The wait starts anew, so
@@ -174,20 +174,20 @@
     }
     // The backoff of a lost peer was discarded, and it starts without one if it returns.
     if (source.is_origin() || m_peers.contains(source.peer))
-        m_faults.on_failed(source, failure, now);
+        m_backoff.on_failed(source, failure, now);
 }
 
-Core::Duration Transfer::stall_of(Source const& source) const
+Core::Duration Transfer::stall_timeout_of(Source const& source) const
 {
-    bool const is_slower = source.is_origin() && m_settings.origin_stall.count() > 0;
-    return is_slower ? m_settings.origin_stall : m_settings.stall;
+    bool const is_slower = source.is_origin() && m_settings.origin_stall_timeout.count() > 0;
+    return is_slower ? m_settings.origin_stall_timeout : m_settings.stall_timeout;
 }
 
-void Transfer::give_up_stalled(Core::Time now, std::vector<TransferAction>& actions)
+void Transfer::cancel_stalled(Core::Time now, std::vector<TransferAction>& actions)
 {
     std::vector<uint64_t> ended;
     for (auto const& [id, running] : m_running) {
-        bool const is_stalled = now - running.last_progress >= stall_of(running.source);
+        bool const is_stalled = now - running.last_progress >= stall_timeout_of(running.source);
         if (is_stalled || m_chunks[running.chunk].is_held)
             ended.push_back(id);
     }
@@ -197,19 +197,19 @@
         actions.push_back(CancelFetch { id });
         refund_duplicate(running);
         if (!m_chunks[running.chunk].is_held)
-            punish(running.source, FetchFailure::Unreachable, now);
+            back_off_from(running.source, FetchFailure::Unreachable, now);
     }
 }
 
-void Transfer::refund_duplicate(Running const& ended)
+void Transfer::refund_duplicate(RunningRead const& ended)
 {
     // A peer from which no bytes arrived cost no traffic. A read from the origin reports no bytes before the last, so it may have cost
     // some.
     auto& chunk = m_chunks[ended.chunk];
     bool const has_cost_bytes = ended.first_bytes.has_value() || ended.source.is_origin();
-    if (!chunk.is_doubled || has_cost_bytes)
+    if (!chunk.has_duplicate || has_cost_bytes)
         return;
-    chunk.is_doubled = false;
+    chunk.has_duplicate = false;
     m_duplicates_left += 1;
 }
 
@@ -224,14 +224,14 @@
     return static_cast<size_t>(std::count_if(m_running.begin(), m_running.end(), [](auto const& entry) { return entry.second.source.is_origin(); }));
 }
 
-bool Transfer::owes_origin_chunks() const
+bool Transfer::has_origin_chunks_to_read() const
 {
     if (m_settings.strategy != Schema::Strategy::Swarm)
         return false;
-    return unheld().own > 0;
+    return unheld().assigned > 0;
 }
 
-bool Transfer::has_stocked_cache() const
+bool Transfer::has_cache_with_chunks() const
 {
     return std::any_of(m_ranks.caches().begin(), m_ranks.caches().end(), [&](auto const& cache) {
         auto const peer = m_peers.find(cache);
@@ -244,9 +244,9 @@
     bool const is_link_slow = m_settings.slow_link.count() > 0 && m_times.is_link_slower_than(m_settings.slow_link);
     if (is_link_slow)
         return 1;
-    if (m_settings.fetches_with_caches > 0 && has_stocked_cache())
+    if (m_settings.fetches_with_caches > 0 && has_cache_with_chunks())
         return m_settings.fetches_with_caches;
-    bool const is_seeding = m_settings.peer_fetches_while_seeding > 0 && owes_origin_chunks();
+    bool const is_seeding = m_settings.peer_fetches_while_seeding > 0 && has_origin_chunks_to_read();
     if (!is_seeding)
         return m_settings.fetches_in_flight;
     return std::min(m_settings.fetches_in_flight, m_settings.origin_fetches_in_flight + m_settings.peer_fetches_while_seeding);
@@ -269,9 +269,9 @@
     std::pair<bool, size_t> best_load;
     uint64_t ties = 0;
     for (auto const& [id, peer] : m_peers) {
-        if (id == except || m_faults.is_avoided(Source { id }, now) || !peer.chunks.contains(chunk))
+        if (id == except || m_backoff.is_backed_off(Source { id }, now) || !peer.chunks.contains(chunk))
             continue;
-        if (!may_ask_peer(chunk, id, now))
+        if (!may_read_from_peer(chunk, id, now))
             continue;
         auto const load = std::pair(!m_ranks.is_cache(id), peer.fetches);
         if (!best.empty() && load > best_load)
@@ -307,19 +307,19 @@
     return true;
 }
 
-bool Transfer::may_ask_peer(size_t chunk, std::string const& peer, Core::Time now) const
+bool Transfer::may_read_from_peer(size_t chunk, std::string const& peer, Core::Time now) const
 {
     auto const& state = m_chunks[chunk];
-    if (m_ranks.are_all_near() || m_ranks.is_near(peer))
+    if (m_ranks.ignores_regions() || m_ranks.is_in_region(peer))
         return true;
-    if (state.near_holders > 0)
+    if (state.region_holders > 0)
         return false;
-    auto const rank = m_ranks.far_rank(chunk);
-    auto const since = std::max(state.without_holder_since, m_last_useful);
-    return now - since >= m_settings.far_patience * patience_steps(rank);
+    auto const rank = m_ranks.cross_region_rank(chunk);
+    auto const since = std::max(state.without_holder_since, m_last_completed_at);
+    return now - since >= m_settings.cross_region_wait * wait_steps(rank);
 }
 
-bool Transfer::may_ask_origin(size_t chunk, Core::Time now) const
+bool Transfer::may_read_from_origin(size_t chunk, Core::Time now) const
 {
     auto const& state = m_chunks[chunk];
     if (state.is_held || state.fetches > 0)
@@ -334,38 +334,38 @@
     }
     if (state.holders > 0)
         return false;
-    auto const steps = patience_steps(m_ranks.origin_rank(chunk));
+    auto const steps = wait_steps(m_ranks.origin_rank(chunk));
     if (steps <= m_origin_steps_waited)
         return true;
     // If this instance's own reads from the origin failed, missing chunks do not mean that the readers before it are lost, so it waits
     // longer.
-    auto const doublings = std::min(m_origin_failures, most_patience_doublings);
-    auto const since = std::max({ state.without_holder_since, m_last_useful, m_origin_failed_at });
-    return now - since >= m_settings.origin_patience * (steps << doublings);
+    auto const doublings = std::min(m_origin_failures, max_wait_doublings);
+    auto const since = std::max({ state.without_holder_since, m_last_completed_at, m_origin_failed_at });
+    return now - since >= m_settings.origin_wait * (steps << doublings);
 }
 
 bool Transfer::start_from_origin(Core::Time now, std::vector<TransferAction>& actions)
 {
-    if (m_faults.is_avoided(Source {}, now) || running_from_origin() >= origin_fetch_limit())
+    if (m_backoff.is_backed_off(Source {}, now) || running_from_origin() >= origin_fetch_limit())
         return false;
     std::vector<size_t> candidates;
     for (size_t i = 0; i < m_chunks.size(); ++i) {
-        if (may_ask_origin(i, now))
+        if (may_read_from_origin(i, now))
             candidates.push_back(i);
     }
     if (candidates.empty())
         return false;
     auto const chunk = candidates[m_random() % candidates.size()];
     // The readers before this one are lost, so the other chunks assigned to them are read without another wait.
-    m_origin_steps_waited = std::max(m_origin_steps_waited, patience_steps(m_ranks.origin_rank(chunk)));
+    m_origin_steps_waited = std::max(m_origin_steps_waited, wait_steps(m_ranks.origin_rank(chunk)));
     actions.push_back(begin(chunk, Source {}, now));
     return true;
 }
 
-bool Transfer::is_slow(Running const& running, Core::Time now) const
+bool Transfer::is_slow(RunningRead const& running, Core::Time now) const
 {
-    auto const lasted = now - running.started;
-    return lasted >= m_settings.stall / slow_reads_per_stall && m_times.is_slow(lasted);
+    auto const elapsed = now - running.started;
+    return elapsed >= m_settings.stall_timeout / slow_reads_per_stall && m_times.is_slow(elapsed);
 }
 
 bool Transfer::start_duplicate(Core::Time now, std::vector<TransferAction>& actions)
@@ -381,7 +381,7 @@
         auto duplicate = begin(running.chunk, Source { peer }, now);
         duplicate.is_duplicate = true;
         m_duplicates_left -= 1;
-        m_chunks[running.chunk].is_doubled = true;
+        m_chunks[running.chunk].has_duplicate = true;
         actions.push_back(std::move(duplicate));
         return true;
     }
@@ -391,7 +391,7 @@
 std::vector<TransferAction> Transfer::step(Core::Time now)
 {
     std::vector<TransferAction> actions;
-    give_up_stalled(now, actions);
+    cancel_stalled(now, actions);
     if (is_complete())
         return actions;
     bool has_started = true;
@@ -414,14 +414,14 @@
         if (m_chunks[i].is_held || m_chunks[i].holders > 0)
             continue;
         unheld.chunks += 1;
-        unheld.own += m_ranks.origin_rank(i) == 0 ? 1 : 0;
+        unheld.assigned += m_ranks.origin_rank(i) == 0 ? 1 : 0;
     }
     return unheld;
 }
 
 bool Transfer::is_starved(Core::Time now) const
 {
-    return !is_complete() && m_running.empty() && now - m_last_useful >= m_settings.stall / 2;
+    return !is_complete() && m_running.empty() && now - m_last_completed_at >= m_settings.stall_timeout / 2;
 }
 
 }
--- a/Libraries/LibDistribution/Transfer.h
+++ b/Libraries/LibDistribution/Transfer.h
@@ -5,7 +5,7 @@
 #include <LibDistribution/ReadRanks.h>
 #include <LibDistribution/ReadTimes.h>
 #include <LibDistribution/Source.h>
-#include <LibDistribution/SourceFaults.h>
+#include <LibDistribution/SourceBackoff.h>
 #include <LibSchema/Generated.h>
 #include <map>
 #include <optional>
@@ -53,19 +53,19 @@
     size_t seeders { 4 };
     /// How long the instance with rank 1 waits before it reads a chunk that no neighbour holds from the origin. The wait grows by the same
     /// time whenever the rank doubles.
-    Core::Duration origin_patience { 2000 };
+    Core::Duration origin_wait { 2000 };
     /// The next chunk to read from a peer is the one with the fewest holders in a random sample of this size. If 0, the sample is all
     /// chunks: then all instances request the newest chunk from its few holders, and the uplinks of the other instances are idle.
     size_t rarity_sample { 0 };
     /// The corresponding wait before a chunk that no peer in this region holds is read from a peer in another region.
-    Core::Duration far_patience { 400 };
+    Core::Duration cross_region_wait { 400 };
     /// Longest backoff from a peer. The backoff doubles with each failure in a row.
-    Core::Duration longest_fault_wait { 16000 };
+    Core::Duration max_peer_backoff { 16000 };
     /// A read that has received nothing for this time is cancelled, and its source is backed off from.
-    Core::Duration stall { 2000 };
+    Core::Duration stall_timeout { 2000 };
     /// The corresponding time for a read from the origin, which reports no progress before the whole chunk has arrived, and which sends to
     /// many instances at once. If 0, `stall` applies.
-    Core::Duration origin_stall { 0 };
+    Core::Duration origin_stall_timeout { 0 };
 };
 
 /// Decides which chunk of one version this instance reads next, and from which source.
@@ -87,7 +87,7 @@
 
     /// Sets the instances of this region, including this one. Traffic between regions is expensive, so one instance reads each chunk from
     /// another region, and the others read it within the region. If empty, regions are ignored.
-    void set_near(std::vector<std::string> const& near);
+    void set_region_instances(std::vector<std::string> const& region_instances);
 
     /// Sets the instances that keep a copy of the version for others and have fast links. They read from the origin before all other
     /// instances, read their region's one copy from another region, and are preferred to other peers as sources. Empty if there are no
@@ -118,7 +118,7 @@
     struct Unheld {
         size_t chunks { 0 };
         /// Those of them for which this instance has rank 0, so that it reads them from the origin without waiting.
-        size_t own { 0 };
+        size_t assigned { 0 };
     };
     Unheld unheld() const;
 
@@ -132,11 +132,11 @@
         // Reads in flight.
         size_t fetches { 0 };
         // A duplicate of a slow read was started, so that the chunk's bytes may be received twice.
-        bool is_doubled { false };
+        bool has_duplicate { false };
         // Number of neighbours that hold the chunk.
         size_t holders { 0 };
         // Number of those that are in this region.
-        size_t near_holders { 0 };
+        size_t region_holders { 0 };
         Core::Time without_holder_since { 0 };
     };
 
@@ -145,7 +145,7 @@
         size_t fetches { 0 };
     };
 
-    struct Running {
+    struct RunningRead {
         size_t chunk { 0 };
         Source source;
         Core::Time started { 0 };
@@ -154,25 +154,25 @@
     };
 
     /// Ends this instance's wait as a backup reader of the origin, if `reader`, a chunk's first holder, is in the same backup group.
-    void join_stand_ins(std::string const& reader);
+    void join_backup_readers(std::string const& reader);
     void end_fetch(uint64_t id);
     /// Starts the backoff from a source after a failure.
-    void punish(Source const&, FetchFailure, Core::Time now);
-    void give_up_stalled(Core::Time now, std::vector<TransferAction>&);
+    void back_off_from(Source const&, FetchFailure, Core::Time now);
+    void cancel_stalled(Core::Time now, std::vector<TransferAction>&);
     bool start_from_peer(Core::Time now, std::vector<TransferAction>&);
     bool start_from_origin(Core::Time now, std::vector<TransferAction>&);
-    void refund_duplicate(Running const& ended);
-    bool is_slow(Running const&, Core::Time now) const;
+    void refund_duplicate(RunningRead const& ended);
+    bool is_slow(RunningRead const&, Core::Time now) const;
     bool start_duplicate(Core::Time now, std::vector<TransferAction>&);
     std::string choose_peer(size_t chunk, Core::Time now, std::string const& except);
     Fetch begin(size_t chunk, Source, Core::Time now);
-    bool may_ask_peer(size_t chunk, std::string const& peer, Core::Time now) const;
-    bool may_ask_origin(size_t chunk, Core::Time now) const;
-    Core::Duration stall_of(Source const&) const;
+    bool may_read_from_peer(size_t chunk, std::string const& peer, Core::Time now) const;
+    bool may_read_from_origin(size_t chunk, Core::Time now) const;
+    Core::Duration stall_timeout_of(Source const&) const;
     size_t origin_fetch_limit() const;
     size_t running_from_origin() const;
-    bool owes_origin_chunks() const;
-    bool has_stocked_cache() const;
+    bool has_origin_chunks_to_read() const;
+    bool has_cache_with_chunks() const;
     size_t fetch_limit() const;
 
     ReadRanks m_ranks;
@@ -180,18 +180,18 @@
     std::mt19937_64 m_random;
     std::vector<ChunkState> m_chunks;
     std::map<std::string, PeerState> m_peers;
-    std::map<uint64_t, Running> m_running;
-    SourceFaults m_faults;
+    std::map<uint64_t, RunningRead> m_running;
+    SourceBackoff m_backoff;
     ReadTimes m_times;
     size_t m_held_count { 0 };
     // Number of duplicate reads that may still be started.
     size_t m_duplicates_left { 0 };
     uint64_t m_next_fetch { 1 };
-    Core::Time m_last_useful { 0 };
+    Core::Time m_last_completed_at { 0 };
     Core::Time m_origin_failed_at { 0 };
     // Failed reads from the origin since the last successful one.
     int64_t m_origin_failures { 0 };
-    // How many times `origin_patience` this instance has already waited before it read from the origin in place of others.
+    // How many times `origin_wait` this instance has already waited before it read from the origin in place of others.
     // Chunks for which no longer wait is due are read without another wait.
     int64_t m_origin_steps_waited { 0 };
 };
--- a/Libraries/LibDistribution/GoalOrder.h
+++ b/Libraries/LibDistribution/TransferProgress.h
@@ -7,19 +7,19 @@
 namespace Distribution {
 
 /// The state of a version's transfer at the time when the operator names a newer version in the log records.
-struct TransferStand {
+struct TransferProgress {
     /// This instance, or one that it can read chunks from, knows the version's manifest.
     bool has_begun { false };
     bool is_complete { false };
     /// Number of the version's chunks, and of those that this instance holds.
-    size_t chunks { 0 };
-    size_t held { 0 };
+    size_t chunk_count { 0 };
+    size_t held_count { 0 };
     /// Every chunk of the newer version is held by some other instance, so that the newer version can be fetched without the origin.
-    bool is_newer_at_peers { false };
+    bool is_newer_held_by_peers { false };
     /// Time since the version was named.
-    Core::Duration since_named { 0 };
+    Core::Duration time_since_named { 0 };
     /// Deadline for serving the version, as a time since it was named.
-    Core::Duration bound { 0 };
+    Core::Duration deadline { 0 };
 };
 
 /// Returns whether a version's transfer should be completed before the transfer of a newer version begins.
@@ -28,15 +28,15 @@
 /// time the newer ones are requested from it. Once half of the time to its deadline has passed, the older version would only delay the
 /// newer one. It gets another quarter of that time if at least three quarters of its chunks are held and the newer version may be
 /// unavailable.
-inline bool is_worth_finishing(TransferStand const& stand)
+inline bool should_finish_first(TransferProgress const& progress)
 {
-    if (!stand.has_begun || stand.is_complete)
+    if (!progress.has_begun || progress.is_complete)
         return false;
-    if (stand.since_named < stand.bound / 2)
+    if (progress.time_since_named < progress.deadline / 2)
         return true;
     // The missing quarter takes a small part of the time that the held chunks took.
-    bool const is_nearly_whole = stand.chunks > 0 && stand.held * 4 >= stand.chunks * 3;
-    return is_nearly_whole && !stand.is_newer_at_peers && stand.since_named < stand.bound * 3 / 4;
+    bool const is_nearly_whole = progress.chunk_count > 0 && progress.held_count * 4 >= progress.chunk_count * 3;
+    return is_nearly_whole && !progress.is_newer_held_by_peers && progress.time_since_named < progress.deadline * 3 / 4;
 }
 
 }
--- a/Libraries/LibDistribution/UnmetGoals.h
+++ b/Libraries/LibDistribution/UnreachedVersions.h
@@ -12,7 +12,7 @@
 ///
 /// Each named version has its own deadline. A version that was skipped for a newer one counts as reached when the newer one is served;
 /// until then its earlier deadline applies.
-class UnmetGoals {
+class UnreachedVersions {
 public:
     void on_named(int64_t version, Core::Time named_at);
     /// Records that the engine serves a version. This version and all older ones count as reached.
--- a/Services/Agent/Agent.cpp
+++ b/Services/Agent/Agent.cpp
@@ -57,15 +57,15 @@
     result.backend_port = static_cast<uint16_t>(settings.backend_port);
     result.has_engine = settings.backend_kind == Schema::BackendKindEnum::Engine;
     result.neighbours = static_cast<size_t>(settings.neighbours.value_or(default_neighbours));
-    result.uploads.at_once = static_cast<size_t>(settings.uploads_at_once.value_or(default_uploads));
+    result.uploads.max_concurrent_uploads = static_cast<size_t>(settings.uploads_at_once.value_or(default_uploads));
     result.uploads.waiting = static_cast<size_t>(settings.uploads_waiting.value_or(default_uploads_waiting));
     result.uploads.bytes_per_second = settings.upload_bytes_per_second.value_or(0);
     result.download_bytes_per_second = settings.download_bytes_per_second.value_or(0);
     result.transfer.strategy = settings.strategy.value_or(Schema::Strategy::Swarm);
     result.transfer.fetches_in_flight = static_cast<size_t>(settings.fetches_in_flight.value_or(default_fetches));
     result.transfer.seeders = static_cast<size_t>(settings.seeders.value_or(default_seeders));
-    result.transfer.origin_patience = Settings::duration_or(settings.origin_patience_ms, default_patience);
-    result.transfer.stall = Settings::duration_or(settings.stall_ms, default_stall);
+    result.transfer.origin_wait = Settings::duration_or(settings.origin_patience_ms, default_patience);
+    result.transfer.stall_timeout = Settings::duration_or(settings.stall_ms, default_stall);
     return result;
 }
 
--- a/Services/Agent/WeightsRunner.cpp
+++ b/Services/Agent/WeightsRunner.cpp
@@ -106,9 +106,9 @@
     auto transfer_settings = m_settings.transfer;
     // Saving origin bytes means waiting longer for a peer; saving time means the opposite.
     if (m_prefer == Schema::Prefer::OriginBytes)
-        transfer_settings.origin_patience *= 2;
+        transfer_settings.origin_wait *= 2;
     auto const seed = Core::stable_hash(m_settings.identity, m_version->digest);
-    m_transfer = std::make_unique<Distribution::Transfer>(*m_version, m_settings.identity, m_targets, m_store.held_of(*m_version), transfer_settings, seed, Core::monotonic_now());
+    m_transfer = std::make_unique<Distribution::Transfer>(*m_version, m_settings.identity, m_targets, m_store.held_chunk_indices(*m_version), transfer_settings, seed, Core::monotonic_now());
     for (auto const& [peer, by_digest] : m_peer_chunks) {
         auto found = by_digest.find(m_version->digest);
         if (found != by_digest.end())
@@ -204,7 +204,7 @@
     Schema::Message message;
     message.chunk_map.emplace();
     message.chunk_map->digest = m_version->digest;
-    message.chunk_map->chunks = m_store.held_of(*m_version);
+    message.chunk_map->chunks = m_store.held_chunk_indices(*m_version);
     m_callbacks.send(peer, message);
 }
 
@@ -378,7 +378,7 @@
 
 bool WeightsRunner::may_switch_now() const
 {
-    return Distribution::may_switch(m_settings.identity, m_targets, ready_of(m_rollout), Distribution::switch_slack(m_targets.size()));
+    return Distribution::may_switch(m_settings.identity, m_targets, ready_of(m_rollout), Distribution::max_instances_switching(m_targets.size()));
 }
 
 std::vector<std::string> const& WeightsRunner::ready_of(std::string const& rollout) const
--- a/Services/DirectEntry/DirectEntry.cpp
+++ b/Services/DirectEntry/DirectEntry.cpp
@@ -159,7 +159,7 @@
     }
     if (m_settings.metrics_port) {
         Transport::HttpServerOptions options;
-        options.send_patience = Weights::upload_patience;
+        options.send_patience = Weights::upload_send_timeout;
         m_metrics_server = TRY(Transport::HttpServer::create(m_loop, m_settings.identity, static_cast<uint16_t>(*m_settings.metrics_port), options, [this](auto const& exchange) { on_internal_request(exchange); }));
     }
     Core::log_event(Core::LogLevel::Info, "started", { { "callers", m_settings.callers_address }, { "domain", m_settings.failure_domain } });
--- a/Services/DirectEntry/EntryWeights.cpp
+++ b/Services/DirectEntry/EntryWeights.cpp
@@ -29,7 +29,7 @@
 {
     return {
         .announce = [this](Schema::PieceMap const& map) { announce(map); },
-        .announce_far = [this](Schema::PieceMap const& map) { announce_far(map); },
+        .announce_to_other_regions = [this](Schema::PieceMap const& map) { announce_to_other_regions(map); },
         .is_wanted = [this](std::string const& service, int64_t version) { return is_wanted(service, version); },
         .sources = [this] { return sources(); },
     };
@@ -71,10 +71,10 @@
     // One that is gone reads nothing for the others: only those that are linked are counted on.
     sources.caches = m_context.hub.peers(Schema::Role::Entry);
     sources.caches.push_back(m_context.settings.identity);
-    sources.near.push_back(m_context.settings.identity);
+    sources.same_region.push_back(m_context.settings.identity);
     for (auto const& [identity, load] : m_context.sharing.peer_loads()) {
         if (is_in_region(load.failure_domain))
-            sources.near.push_back(identity);
+            sources.same_region.push_back(identity);
     }
     return sources;
 }
@@ -108,7 +108,7 @@
         m_context.hub.send(agent, message);
 }
 
-void EntryWeights::announce_far(Schema::PieceMap const& map)
+void EntryWeights::announce_to_other_regions(Schema::PieceMap const& map)
 {
     Schema::Message message;
     message.pieces = map;
--- a/Services/DirectEntry/EntryWeights.h
+++ b/Services/DirectEntry/EntryWeights.h
@@ -52,7 +52,7 @@
     std::set<std::string> near_agents() const;
     bool is_near(std::string const& entry) const;
     void announce(Schema::PieceMap const&);
-    void announce_far(Schema::PieceMap const&);
+    void announce_to_other_regions(Schema::PieceMap const&);
 
     EntryWeightsContext m_context;
     WeightsCache m_cache;
--- a/Services/DirectEntry/WeightsCache.cpp
+++ b/Services/DirectEntry/WeightsCache.cpp
@@ -50,8 +50,8 @@
     if (now - m_started_at < acquaintance)
         return;
     for (auto& [model, copy] : m_copies) {
-        copy.goal->take_next();
-        auto const& goal = copy.goal->present();
+        copy.goal->switch_if_due();
+        auto const& goal = copy.goal->current();
         if (goal && is_wanted(copy, goal->version))
             copy.fetcher->turn(now);
         else
@@ -61,7 +61,7 @@
 
 bool WeightsCache::is_wanted(Copy const& copy, int64_t version) const
 {
-    auto const& goal = copy.goal->present();
+    auto const& goal = copy.goal->current();
     return goal && m_callbacks.is_wanted(goal->service, version);
 }
 
@@ -72,8 +72,8 @@
         return copy;
     Weights::CopyFetcher::Callbacks callbacks {
         .announce = m_callbacks.announce,
-        .announce_far = m_callbacks.announce_far,
-        .manifest_taken = [&copy] { copy.fetcher->begin(); },
+        .announce_to_other_regions = m_callbacks.announce_to_other_regions,
+        .manifest_accepted = [&copy] { copy.fetcher->begin(); },
         .chunk_held = [](size_t) {},
         .is_seeking = [this, &copy](int64_t version) { return is_wanted(copy, version); },
         .is_lacked = [this, &copy](int64_t version) { return is_wanted(copy, version); },
@@ -81,10 +81,10 @@
         .sources = m_callbacks.sources,
     };
     copy.fetcher = std::make_unique<Weights::CopyFetcher>(m_loop, fetcher_settings(m_settings), m_metrics, m_origin, std::move(callbacks));
-    copy.goal = std::make_unique<Weights::CopyGoal>(*copy.fetcher, Weights::CopyGoal::Callbacks { .is_seeking = [this, &copy](int64_t version) { return is_wanted(copy, version); }, .turning = {} });
+    copy.goal = std::make_unique<Weights::CopyGoal>(*copy.fetcher, Weights::CopyGoal::Callbacks { .is_seeking = [this, &copy](int64_t version) { return is_wanted(copy, version); }, .before_switch = {} });
     Weights::ChunkServerSettings uploads;
     uploads.bytes_per_second = m_settings.bytes_per_second;
-    uploads.at_once = uploads_at_once;
+    uploads.max_concurrent_uploads = uploads_at_once;
     uploads.waiting = waiting_uploads;
     copy.server = std::make_unique<Weights::ChunkServer>(m_loop, uploads, m_metrics, copy.fetcher->store());
     return copy;
@@ -92,7 +92,7 @@
 
 void WeightsCache::set_goal(Schema::WeightsGoal const& goal, Core::Time named_at)
 {
-    copy_of(goal.model).goal->name(goal, named_at);
+    copy_of(goal.model).goal->on_version_named(goal, named_at);
 }
 
 void WeightsCache::update_sources()
--- a/Services/DirectEntry/WeightsCache.h
+++ b/Services/DirectEntry/WeightsCache.h
@@ -36,7 +36,7 @@
         /// To be told to the other entries and to the agents of this region.
         std::function<void(Schema::PieceMap const&)> announce;
         /// To be told to the entries of other regions.
-        std::function<void(Schema::PieceMap const&)> announce_far;
+        std::function<void(Schema::PieceMap const&)> announce_to_other_regions;
         /// Whether some engine of a service does not serve a version yet.
         std::function<bool(std::string const& service, int64_t version)> is_wanted;
         /// All entries that are known, this one included, and those of this region.
--- a/Services/EngineAgent/CopyKeeper.cpp
+++ b/Services/EngineAgent/CopyKeeper.cpp
@@ -26,7 +26,7 @@
     , m_engine(engine)
     , m_callbacks(std::move(callbacks))
     , m_fetcher(loop, m_settings.fetcher, metrics, origin, fetcher_callbacks())
-    , m_goal(m_fetcher, { .is_seeking = [this](int64_t version) { return is_seeking(version); }, .turning = [this](Schema::WeightsGoal const& next, Core::Time named_at) { on_turning(next, named_at); } })
+    , m_goal(m_fetcher, { .is_seeking = [this](int64_t version) { return is_seeking(version); }, .before_switch = [this](Schema::WeightsGoal const& next, Core::Time named_at) { on_turning(next, named_at); } })
     , m_turn_timer(loop.every(turn_interval, [this] { turn(); }))
     , m_poll_timer(loop.every(poll_interval, [this] { poll_engine(); }))
 {
@@ -38,7 +38,7 @@
 {
     return {
         .announce = [this](Schema::PieceMap const& map) { m_callbacks.announce(map); },
-        .manifest_taken = [this] { on_manifest(); },
+        .manifest_accepted = [this] { on_manifest(); },
         .chunk_held = [this](size_t chunk) {
             m_load->on_held(chunk);
             run_load(Core::monotonic_now()); },
@@ -74,9 +74,9 @@
 {
     Weights::CopySources sources;
     sources.caches.assign(m_caches.begin(), m_caches.end());
-    sources.near.assign(m_near_caches.begin(), m_near_caches.end());
+    sources.same_region.assign(m_near_caches.begin(), m_near_caches.end());
     sources.targets.push_back(m_settings.fetcher.identity);
-    sources.near.push_back(m_settings.fetcher.identity);
+    sources.same_region.push_back(m_settings.fetcher.identity);
     for (auto const& peer : goal()->peers) {
         if (peer.identity == m_settings.fetcher.identity)
             continue;
@@ -84,7 +84,7 @@
             sources.targets.push_back(peer.identity);
         auto const region = m_settings.regions.find(peer.failure_domain);
         if (region != m_settings.regions.end() && region->second == m_settings.region)
-            sources.near.push_back(peer.identity);
+            sources.same_region.push_back(peer.identity);
     }
     return sources;
 }
@@ -92,7 +92,7 @@
 void CopyKeeper::set_goal(Schema::WeightsGoal const& goal)
 {
     m_woke_at.reset();
-    if (m_goal.name(goal, Core::monotonic_now() - Core::Duration(goal.age_ms)))
+    if (m_goal.on_version_named(goal, Core::monotonic_now() - Core::Duration(goal.age_ms)))
         turn();
 }
 
@@ -183,7 +183,7 @@
     m_callbacks.look();
     if (!goal())
         return;
-    m_goal.take_next();
+    m_goal.switch_if_due();
     auto const now = Core::monotonic_now();
     // An engine that does not answer wants nothing.
     bool const is_engine_there = m_report.has_value() || m_fetcher.has_manifest();
@@ -246,7 +246,7 @@
     for (size_t i = 0; i < m_fetcher.spec().chunks.size(); ++i) {
         m_engine.read_staged(goal()->model, i, [this, i, version](std::shared_ptr<std::string const> const& bytes) {
             bool const is_wanted = bytes && m_fetcher.has_manifest() && m_fetcher.manifest().version == version;
-            if (is_wanted && m_fetcher.adopt(i, *bytes))
+            if (is_wanted && m_fetcher.add_local_chunk(i, *bytes))
                 m_metrics.count("mountbarrow_chunks_adopted_total");
             m_adopting -= 1;
             // A newer version that was named meanwhile has begun by itself.
--- a/Services/EngineAgent/CopyKeeper.h
+++ b/Services/EngineAgent/CopyKeeper.h
@@ -7,7 +7,7 @@
 #include <LibCore/Metrics.h>
 #include <LibDistribution/EngineControl.h>
 #include <LibDistribution/StagedLoad.h>
-#include <LibDistribution/UnmetGoals.h>
+#include <LibDistribution/UnreachedVersions.h>
 #include <LibPlatform/EngineApi.h>
 #include <LibSchema/Generated.h>
 #include <functional>
@@ -80,7 +80,7 @@
         std::unique_ptr<Distribution::StagedLoad> load;
     };
 
-    std::optional<Schema::WeightsGoal> const& goal() const { return m_goal.present(); }
+    std::optional<Schema::WeightsGoal> const& goal() const { return m_goal.current(); }
     void on_turning(Schema::WeightsGoal const& next, Core::Time named_at);
     Weights::CopyFetcher::Callbacks fetcher_callbacks();
     Weights::CopySources sources() const;
@@ -118,7 +118,7 @@
     Platform::EngineApi& m_engine;
     Callbacks m_callbacks;
 
-    Distribution::UnmetGoals m_unmet_goals;
+    Distribution::UnreachedVersions m_unmet_goals;
     std::unique_ptr<Distribution::StagedLoad> m_load;
     Weights::CopyFetcher m_fetcher;
     Weights::CopyGoal m_goal;
--- a/Services/EngineAgent/EngineAgent.cpp
+++ b/Services/EngineAgent/EngineAgent.cpp
@@ -78,7 +78,7 @@
     m_pauses.on_woke(told_pause, [this](Core::Duration paused_for) { on_woke(paused_for); });
     Weights::ChunkServerSettings uploads;
     uploads.bytes_per_second = static_cast<int64_t>(settings.link_megabits_per_second * bytes_per_megabit * upload_part_of_link);
-    uploads.at_once = uploads_at_once;
+    uploads.max_concurrent_uploads = uploads_at_once;
     uploads.waiting = waiting_uploads;
     m_chunks = std::make_unique<Weights::ChunkServer>(loop, uploads, m_metrics, m_copy->store());
     m_state_timer = loop.every(state_interval, [this] { send_state_if_changed(); });
@@ -92,7 +92,7 @@
     TRY(m_hub->listen(m_settings.identity, static_cast<uint16_t>(m_settings.link_port)));
     dial_wanted();
     Transport::HttpServerOptions options;
-    options.send_patience = Weights::upload_patience;
+    options.send_patience = Weights::upload_send_timeout;
     m_http = TRY(Transport::HttpServer::create(m_loop, m_settings.identity, static_cast<uint16_t>(m_settings.chunk_port), options, [this](auto const& exchange) { on_http(exchange); }));
     Core::log_event(Core::LogLevel::Info, "started", { { "engine", m_settings.engine_address }, { "domain", m_settings.failure_domain } });
     return {};
--- a/Services/Entry/Entry.cpp
+++ b/Services/Entry/Entry.cpp
@@ -156,7 +156,7 @@
 {
     Core::log_event(Core::LogLevel::Info, "link_down", { { "agent", agent } });
     m_last_heard.erase(agent);
-    m_tally.on_gone(agent);
+    m_tally.on_instance_lost(agent);
     m_callers->on_link_down(agent);
 }
 
--- a/Services/Entry/Entry.h
+++ b/Services/Entry/Entry.h
@@ -5,7 +5,7 @@
 #include "OperatorApi.h"
 #include <LibConfiguration/Replica.h>
 #include <LibConfiguration/SnapshotSchedule.h>
-#include <LibDistribution/RolloutTally.h>
+#include <LibDistribution/RolloutProgress.h>
 #include <LibMembership/InstanceList.h>
 #include <LibMembership/KeyHome.h>
 #include <LibPlatform/Platform.h>
@@ -58,7 +58,7 @@
     Configuration::SnapshotSchedule m_snapshots;
     Membership::InstanceList m_list;
     Membership::SetHistory m_set_history;
-    Distribution::RolloutTally m_tally;
+    Distribution::RolloutProgress m_tally;
     std::unique_ptr<Platform::Platform> m_platform;
     std::unique_ptr<Transport::LinkHub> m_hub;
     std::unique_ptr<Transport::IngressServer> m_http;
--- a/Services/Entry/OperatorApi.cpp
+++ b/Services/Entry/OperatorApi.cpp
@@ -55,7 +55,7 @@
     reply_problem(exchange, problem);
 }
 
-OperatorApi::OperatorApi(Core::EventLoop& loop, Core::Metrics& metrics, Configuration::Replica const& replica, Distribution::RolloutTally const& tally, Platform::Platform& platform, std::map<std::string, Settings::OperatorRole> tokens, IsConfirmed is_configuration_confirmed)
+OperatorApi::OperatorApi(Core::EventLoop& loop, Core::Metrics& metrics, Configuration::Replica const& replica, Distribution::RolloutProgress const& tally, Platform::Platform& platform, std::map<std::string, Settings::OperatorRole> tokens, IsConfirmed is_configuration_confirmed)
     : m_loop(loop)
     , m_metrics(metrics)
     , m_replica(replica)
--- a/Services/Entry/OperatorApi.h
+++ b/Services/Entry/OperatorApi.h
@@ -4,7 +4,7 @@
 #include <LibConfiguration/Replica.h>
 #include <LibCore/EventLoop.h>
 #include <LibCore/Metrics.h>
-#include <LibDistribution/RolloutTally.h>
+#include <LibDistribution/RolloutProgress.h>
 #include <LibPlatform/Platform.h>
 #include <LibSettings/Settings.h>
 #include <LibTransport/IngressServer.h>
@@ -20,7 +20,7 @@
     /// Whether the configuration is all that is on the log, as read a moment ago.
     using IsConfirmed = std::function<bool()>;
 
-    OperatorApi(Core::EventLoop&, Core::Metrics&, Configuration::Replica const&, Distribution::RolloutTally const&, Platform::Platform&, std::map<std::string, Settings::OperatorRole> tokens, IsConfirmed);
+    OperatorApi(Core::EventLoop&, Core::Metrics&, Configuration::Replica const&, Distribution::RolloutProgress const&, Platform::Platform&, std::map<std::string, Settings::OperatorRole> tokens, IsConfirmed);
     ~OperatorApi();
 
     void handle(std::shared_ptr<Transport::IngressRequest> const&);
@@ -69,7 +69,7 @@
     Core::EventLoop& m_loop;
     Core::Metrics& m_metrics;
     Configuration::Replica const& m_replica;
-    Distribution::RolloutTally const& m_tally;
+    Distribution::RolloutProgress const& m_tally;
     Platform::Platform& m_platform;
     std::map<std::string, Settings::OperatorRole> m_tokens;
     IsConfirmed m_is_configuration_confirmed;
--- a/Services/Weights/ChunkServer.cpp
+++ b/Services/Weights/ChunkServer.cpp
@@ -20,7 +20,7 @@
 {
 }
 
-bool ChunkServer::goes_first(WaitingUpload const& first, WaitingUpload const& second)
+bool ChunkServer::has_priority(WaitingUpload const& first, WaitingUpload const& second)
 {
     return std::pair(!first.is_for_cache, first.held) < std::pair(!second.is_for_cache, second.held);
 }
@@ -38,7 +38,7 @@
         exchange->reply_shared(status_ok, {}, std::move(chunk));
         return;
     }
-    if (*m_uploads < m_settings.at_once) {
+    if (*m_uploads < m_settings.max_concurrent_uploads) {
         upload(*exchange, chunk);
         return;
     }
@@ -47,8 +47,8 @@
     std::erase_if(m_waiting, [](auto const& waiting) { return waiting.exchange->is_over(); });
     if (m_waiting.size() <= m_settings.waiting)
         return;
-    // Refuse the peer that holds the most chunks: it loses the least by waiting for another source.
-    auto const furthest = std::max_element(m_waiting.begin(), m_waiting.end(), goes_first);
+    // The peer that holds the most chunks can most easily find another source.
+    auto const furthest = std::max_element(m_waiting.begin(), m_waiting.end(), has_priority);
     m_metrics.count("mountbarrow_agent_uploads_refused_total");
     furthest->exchange->reply(status_unavailable, { { "Retry-After", "1" } }, {});
     m_waiting.erase(furthest);
@@ -75,9 +75,9 @@
 
 void ChunkServer::upload_next()
 {
-    while (*m_uploads < m_settings.at_once && !m_waiting.empty()) {
+    while (*m_uploads < m_settings.max_concurrent_uploads && !m_waiting.empty()) {
         // The peer that is furthest behind comes first, since the time until all replicas are complete is that of the last one.
-        auto const furthest_behind = std::min_element(m_waiting.begin(), m_waiting.end(), goes_first);
+        auto const furthest_behind = std::min_element(m_waiting.begin(), m_waiting.end(), has_priority);
         auto const next = std::move(*furthest_behind);
         m_waiting.erase(furthest_behind);
         if (!next.exchange->is_over())
--- a/Services/Weights/ChunkServer.h
+++ b/Services/Weights/ChunkServer.h
@@ -14,13 +14,13 @@
 
 /// Send timeout of an upload: a peer that receives nothing for this time has a broken connection, and has begun to read from another
 /// source.
-inline constexpr Core::Duration upload_patience { 2000 };
+inline constexpr Core::Duration upload_send_timeout { 2000 };
 
 struct ChunkServerSettings {
     /// Limit of the bytes per second sent to all peers together. If 0, there is no limit.
     int64_t bytes_per_second { 0 };
     /// Maximum number of concurrent uploads to peers. More uploads would share the link, and each chunk would arrive later.
-    size_t at_once { 1 };
+    size_t max_concurrent_uploads { 1 };
     /// Maximum number of requests that wait for an upload to end, so that the link is never idle in between.
     size_t waiting { 1 };
 };
@@ -48,7 +48,7 @@
     };
 
     /// Whether the first upload has priority: caches first, then the peer that holds fewer chunks.
-    static bool goes_first(WaitingUpload const&, WaitingUpload const&);
+    static bool has_priority(WaitingUpload const&, WaitingUpload const&);
     void upload(Transport::HttpExchange&, std::shared_ptr<std::string const> const& chunk);
     void upload_next();
 
--- a/Services/Weights/CopyFetcher.cpp
+++ b/Services/Weights/CopyFetcher.cpp
@@ -13,13 +13,13 @@
 static constexpr Core::Duration progress_interval { 500 };
 // Peers in other regions need to know at once of the first copy of a chunk, which came from the origin. Further copies are of use to them
 // only if the first holder is lost, so they are announced at this interval.
-static constexpr Core::Duration far_news_interval { 500 };
+static constexpr Core::Duration other_regions_interval { 500 };
 static constexpr Core::Duration manifest_retry { 700 };
 // No chunk of a version can be read before its manifest is known, so the request is repeated sooner if the origin fails than if it is slow.
 static constexpr Core::Duration failed_manifest_retry { 250 };
 // The origin's link is slow, and a manifest takes as long as a seventh of a chunk. So a few caches read it from the origin, and the other
 // instances wait this long for a peer that has it.
-static constexpr Core::Duration cache_patience { 500 };
+static constexpr Core::Duration cache_wait { 500 };
 // SHA-256 in hexadecimal.
 static constexpr size_t digest_characters = 64;
 static constexpr int status_ok = 200;
@@ -48,25 +48,25 @@
     }
     Core::log_event(Core::LogLevel::Info, "goal_changed", { { "model", goal.model }, { "version", std::to_string(goal.version) }, { "origin", goal.origin_address }, { "peers", std::to_string(goal.peers.size()) } });
     // Instances that still fetch the previous version need the chunks that arrived since the last announcement.
-    announce_news();
-    m_announced_far_at = Core::Time(0);
-    announce_news_far(Core::monotonic_now());
+    announce_new_chunks();
+    m_announced_to_other_regions_at = Core::Time(0);
+    announce_new_chunks_to_other_regions(Core::monotonic_now());
     keep_as_older();
     if (m_goal && m_goal->model != goal.model)
         m_older.reset();
     m_goal = goal;
     m_named_at = named_at;
-    m_turned_at = Core::monotonic_now();
-    m_manifest_tries = 0;
-    m_next_manifest_try = Core::Time(0);
+    m_goal_set_at = Core::monotonic_now();
+    m_manifest_attempts = 0;
+    m_next_manifest_attempt = Core::Time(0);
     m_transfer.reset();
     m_downloads.clear();
     m_fetch_chunks.clear();
     cancel_origin_reads();
     m_unannounced.clear();
-    m_unannounced_far.clear();
-    m_has_origin_news = false;
-    m_is_complete_told = false;
+    m_unannounced_to_other_regions.clear();
+    m_has_unannounced_origin_chunk = false;
+    m_is_complete_logged = false;
 }
 
 void CopyFetcher::update_sources()
@@ -76,7 +76,7 @@
     auto sources = m_callbacks.sources();
     m_transfer->set_caches(std::move(sources.caches));
     m_transfer->set_targets(std::move(sources.targets));
-    m_transfer->set_near(sources.near);
+    m_transfer->set_region_instances(sources.same_region);
 }
 
 void CopyFetcher::turn(Core::Time now)
@@ -84,36 +84,36 @@
     if (!m_goal)
         return;
     if (!m_wanted)
-        seek_manifest(now);
+        request_manifest(now);
     if (m_transfer && m_callbacks.is_seeking(m_goal->version)) {
         run_transfer(now);
         log_progress(now);
     }
-    announce_news();
-    announce_news_far(now);
+    announce_new_chunks();
+    announce_new_chunks_to_other_regions(now);
     drop_older_if_unneeded();
 }
 
-Distribution::TransferStand CopyFetcher::stand(int64_t newer, Core::Time now) const
+Distribution::TransferProgress CopyFetcher::transfer_progress(int64_t newer, Core::Time now) const
 {
-    Distribution::TransferStand stand;
+    Distribution::TransferProgress progress;
     if (!m_goal)
-        return stand;
-    stand.has_begun = is_under_way();
-    stand.is_complete = is_complete();
-    stand.chunks = m_transfer ? m_transfer->chunk_count() : 0;
-    stand.held = m_transfer ? m_transfer->held_count() : 0;
-    stand.is_newer_at_peers = m_peer_chunks.distinct_chunks(m_goal->model, newer) >= stand.chunks;
-    stand.since_named = now - m_named_at;
-    stand.bound = Core::Duration(m_goal->bound_ms);
-    return stand;
+        return progress;
+    progress.has_begun = can_be_fetched();
+    progress.is_complete = is_complete();
+    progress.chunk_count = m_transfer ? m_transfer->chunk_count() : 0;
+    progress.held_count = m_transfer ? m_transfer->held_count() : 0;
+    progress.is_newer_held_by_peers = m_peer_chunks.distinct_chunks(m_goal->model, newer) >= progress.chunk_count;
+    progress.time_since_named = now - m_named_at;
+    progress.deadline = Core::Duration(m_goal->bound_ms);
+    return progress;
 }
 
 // Keeping and dropping the previous version.
 
 bool CopyFetcher::is_whole(KnownVersion const& version) const
 {
-    return m_store.held_of(version.spec).size() == version.spec.chunks.size();
+    return m_store.held_chunk_indices(version.spec).size() == version.spec.chunks.size();
 }
 
 void CopyFetcher::keep_as_older()
@@ -159,9 +159,9 @@
     return stocked.empty() ? others : stocked;
 }
 
-bool CopyFetcher::awaits_cache(Core::Time now) const
+bool CopyFetcher::should_wait_for_cache(Core::Time now) const
 {
-    if (now - m_turned_at >= cache_patience)
+    if (now - m_goal_set_at >= cache_wait)
         return false;
     auto caches = m_callbacks.sources().caches;
     if (caches.empty())
@@ -171,19 +171,19 @@
     return std::find(ranked.begin(), readers_end, m_settings.identity) == readers_end;
 }
 
-void CopyFetcher::seek_manifest(Core::Time now)
+void CopyFetcher::request_manifest(Core::Time now)
 {
-    if (now < m_next_manifest_try)
+    if (now < m_next_manifest_attempt)
         return;
     auto const peers = peers_with_manifest();
-    if (peers.empty() && awaits_cache(now))
+    if (peers.empty() && should_wait_for_cache(now))
         return;
-    m_next_manifest_try = now + manifest_retry;
-    m_manifest_tries += 1;
+    m_next_manifest_attempt = now + manifest_retry;
+    m_manifest_attempts += 1;
     // Every second attempt goes to the origin.
-    bool const is_peers_turn = !peers.empty() && m_manifest_tries % 2 == 1;
+    bool const is_peers_turn = !peers.empty() && m_manifest_attempts % 2 == 1;
     if (is_peers_turn)
-        read_manifest_from_peer(peers[Core::stable_hash(m_settings.identity, std::to_string(m_manifest_tries)) % peers.size()]);
+        read_manifest_from_peer(peers[Core::stable_hash(m_settings.identity, std::to_string(m_manifest_attempts)) % peers.size()]);
     else if (!m_goal->origin_address.empty())
         read_manifest_from_origin();
 }
@@ -192,11 +192,11 @@
 {
     m_origin.read_manifest(m_goal->origin_address, m_goal->model, m_goal->version, [this](Core::ErrorOr<Platform::Manifest> manifest) {
         if (manifest.has_value()) {
-            take_manifest(*manifest, "origin");
+            accept_manifest(*manifest, "origin");
             return;
         }
         m_metrics.count("mountbarrow_manifest_failures_total", "source=\"origin\"");
-        m_next_manifest_try = std::min(m_next_manifest_try, Core::monotonic_now() + failed_manifest_retry);
+        m_next_manifest_attempt = std::min(m_next_manifest_attempt, Core::monotonic_now() + failed_manifest_retry);
     });
 }
 
@@ -218,11 +218,11 @@
         manifest.version = value.value("version", int64_t { 0 });
         manifest.chunk_bytes = value.value("chunk_bytes", int64_t { 0 });
         manifest.digests = value.value("digests", std::vector<std::string> {});
-        take_manifest(manifest, peer);
+        accept_manifest(manifest, peer);
     });
 }
 
-void CopyFetcher::take_manifest(Platform::Manifest const& manifest, std::string const& source)
+void CopyFetcher::accept_manifest(Platform::Manifest const& manifest, std::string const& source)
 {
     if (m_wanted || !m_goal)
         return;
@@ -240,8 +240,8 @@
         spec.chunks.push_back({ .bytes = manifest.chunk_bytes, .digest = digest });
     spec.digest = Configuration::weights_digest(spec.chunks);
     m_wanted = KnownVersion { manifest, std::move(spec) };
-    Core::log_event(Core::LogLevel::Info, "manifest_taken", { { "source", source }, { "version", std::to_string(manifest.version) }, { "already_held", std::to_string(m_store.held_of(m_wanted->spec).size()) } });
-    m_callbacks.manifest_taken();
+    Core::log_event(Core::LogLevel::Info, "manifest_taken", { { "source", source }, { "version", std::to_string(manifest.version) }, { "already_held", std::to_string(m_store.held_chunk_indices(m_wanted->spec).size()) } });
+    m_callbacks.manifest_accepted();
 }
 
 void CopyFetcher::serve_manifest(Transport::HttpExchange& exchange) const
@@ -262,7 +262,7 @@
 
 // Fetching and announcing chunks.
 
-bool CopyFetcher::adopt(size_t chunk, std::string const& bytes)
+bool CopyFetcher::add_local_chunk(size_t chunk, std::string const& bytes)
 {
     Distribution::IncomingChunk incoming;
     incoming.append(bytes);
@@ -273,18 +273,18 @@
 {
     auto const now = Core::monotonic_now();
     keep_needed_chunks();
-    auto const held = m_store.held_of(m_wanted->spec);
+    auto const held = m_store.held_chunk_indices(m_wanted->spec);
     auto sources = m_callbacks.sources();
     m_transfer = std::make_unique<Distribution::Transfer>(m_wanted->spec, m_settings.identity, sources.targets, held, m_settings.transfer, Core::stable_hash(m_settings.identity, m_wanted->spec.digest), now);
     m_transfer->set_caches(std::move(sources.caches));
-    m_transfer->set_near(sources.near);
+    m_transfer->set_region_instances(sources.same_region);
     for (auto const& [peer, chunks] : m_peer_chunks.holders_of(m_wanted->manifest.model, m_wanted->manifest.version))
         m_transfer->on_peer_chunks(peer, { chunks.begin(), chunks.end() });
     for (auto chunk : held)
         m_callbacks.chunk_held(static_cast<size_t>(chunk));
-    m_callbacks.announce(map_of(*m_wanted));
-    if (m_callbacks.announce_far)
-        m_callbacks.announce_far(map_of(*m_wanted));
+    m_callbacks.announce(piece_map_of(*m_wanted));
+    if (m_callbacks.announce_to_other_regions)
+        m_callbacks.announce_to_other_regions(piece_map_of(*m_wanted));
     turn(now);
 }
 
@@ -303,12 +303,12 @@
         m_transfer->on_peer_lost(peer);
 }
 
-Schema::PieceMap CopyFetcher::map_of(KnownVersion const& known) const
+Schema::PieceMap CopyFetcher::piece_map_of(KnownVersion const& known) const
 {
     Schema::PieceMap map;
     map.model = known.manifest.model;
     map.version = known.manifest.version;
-    map.chunks = m_store.held_of(known.spec);
+    map.chunks = m_store.held_chunk_indices(known.spec);
     map.is_seeking = m_callbacks.is_seeking(map.version);
     return map;
 }
@@ -317,9 +317,9 @@
 {
     std::vector<Schema::PieceMap> maps;
     if (m_older)
-        maps.push_back(map_of(*m_older));
+        maps.push_back(piece_map_of(*m_older));
     if (m_wanted)
-        maps.push_back(map_of(*m_wanted));
+        maps.push_back(piece_map_of(*m_wanted));
     return maps;
 }
 
@@ -359,7 +359,7 @@
         m_origin_reads.erase(id);
         if (!m_wanted || m_wanted->manifest.version != version)
             return;
-        note_origin(bytes);
+        log_origin_change(bytes);
         if (!bytes.has_value()) {
             on_fetch_failed(id, FetchFailure::Unreachable);
             return;
@@ -384,7 +384,7 @@
     call.path = "/chunks/" + m_wanted->spec.chunks[fetch.chunk].digest + "?held=" + std::to_string(m_transfer->held_count());
     if (m_settings.is_cache)
         call.path += "&for=cache";
-    call.timeout = m_settings.transfer.stall;
+    call.timeout = m_settings.transfer.stall_timeout;
     auto download = std::make_unique<Download>();
     auto* raw = download.get();
     auto const id = fetch.id;
@@ -448,15 +448,15 @@
         if (m_wanted->spec.chunks[i].digest != digest)
             continue;
         m_unannounced.push_back(static_cast<int64_t>(i));
-        m_unannounced_far.push_back(static_cast<int64_t>(i));
+        m_unannounced_to_other_regions.push_back(static_cast<int64_t>(i));
         m_callbacks.chunk_held(i);
     }
-    m_has_origin_news = m_has_origin_news || is_from_origin;
-    if (m_transfer->is_complete() && !std::exchange(m_is_complete_told, true))
+    m_has_unannounced_origin_chunk = m_has_unannounced_origin_chunk || is_from_origin;
+    if (m_transfer->is_complete() && !std::exchange(m_is_complete_logged, true))
         log_complete();
 }
 
-Schema::PieceMap CopyFetcher::news(std::vector<int64_t> chunks) const
+Schema::PieceMap CopyFetcher::announcement_of(std::vector<int64_t> chunks) const
 {
     Schema::PieceMap map;
     map.model = m_wanted->manifest.model;
@@ -466,27 +466,27 @@
     return map;
 }
 
-void CopyFetcher::announce_news()
+void CopyFetcher::announce_new_chunks()
 {
     if (m_unannounced.empty())
         return;
-    m_callbacks.announce(news(std::exchange(m_unannounced, {})));
+    m_callbacks.announce(announcement_of(std::exchange(m_unannounced, {})));
 }
 
-void CopyFetcher::announce_news_far(Core::Time now)
+void CopyFetcher::announce_new_chunks_to_other_regions(Core::Time now)
 {
-    if (!m_callbacks.announce_far || m_unannounced_far.empty())
+    if (!m_callbacks.announce_to_other_regions || m_unannounced_to_other_regions.empty())
         return;
-    if (!m_has_origin_news && now - m_announced_far_at < far_news_interval)
+    if (!m_has_unannounced_origin_chunk && now - m_announced_to_other_regions_at < other_regions_interval)
         return;
-    m_announced_far_at = now;
-    m_has_origin_news = false;
-    m_callbacks.announce_far(news(std::exchange(m_unannounced_far, {})));
+    m_announced_to_other_regions_at = now;
+    m_has_unannounced_origin_chunk = false;
+    m_callbacks.announce_to_other_regions(announcement_of(std::exchange(m_unannounced_to_other_regions, {})));
 }
 
 // Log records.
 
-void CopyFetcher::note_origin(Core::ErrorOr<std::string> const& answer)
+void CopyFetcher::log_origin_change(Core::ErrorOr<std::string> const& answer)
 {
     // Requests are repeated while the origin fails, so only the first failure and the first success after it are logged.
     bool const was_failing = std::exchange(m_is_origin_failing, !answer.has_value());
@@ -503,10 +503,10 @@
 
 void CopyFetcher::log_progress(Core::Time now)
 {
-    if (m_transfer->is_complete() || now - m_progress_told_at < progress_interval)
+    if (m_transfer->is_complete() || now - m_progress_logged_at < progress_interval)
         return;
-    m_progress_told_at = now;
-    Core::log_event(Core::LogLevel::Info, "transfer_progress", { { "version", std::to_string(m_wanted->manifest.version) }, { "held", std::to_string(m_transfer->held_count()) }, { "from_origin", std::to_string(m_metrics.counter("mountbarrow_chunks_total", "source=\"origin\"")) }, { "fetching", std::to_string(m_fetch_chunks.size()) }, { "held_nowhere", std::to_string(m_transfer->unheld().chunks) }, { "own_to_read", std::to_string(m_transfer->unheld().own) }, { "busy", std::to_string(m_metrics.counter("mountbarrow_fetch_failures_total", "reason=\"0\"")) }, { "after_ms", std::to_string((now - m_named_at).count()) } });
+    m_progress_logged_at = now;
+    Core::log_event(Core::LogLevel::Info, "transfer_progress", { { "version", std::to_string(m_wanted->manifest.version) }, { "held", std::to_string(m_transfer->held_count()) }, { "from_origin", std::to_string(m_metrics.counter("mountbarrow_chunks_total", "source=\"origin\"")) }, { "fetching", std::to_string(m_fetch_chunks.size()) }, { "held_nowhere", std::to_string(m_transfer->unheld().chunks) }, { "own_to_read", std::to_string(m_transfer->unheld().assigned) }, { "busy", std::to_string(m_metrics.counter("mountbarrow_fetch_failures_total", "reason=\"0\"")) }, { "after_ms", std::to_string((now - m_named_at).count()) } });
 }
 
 }
--- a/Services/Weights/CopyFetcher.h
+++ b/Services/Weights/CopyFetcher.h
@@ -5,8 +5,8 @@
 #include <LibCore/EventLoop.h>
 #include <LibCore/Metrics.h>
 #include <LibDistribution/ChunkStore.h>
-#include <LibDistribution/GoalOrder.h>
 #include <LibDistribution/Transfer.h>
+#include <LibDistribution/TransferProgress.h>
 #include <LibPlatform/EngineApi.h>
 #include <LibSchema/Generated.h>
 #include <LibTransport/HttpClient.h>
@@ -36,7 +36,7 @@
     /// Instances that want the version, including this one if it does.
     std::vector<std::string> targets;
     /// Instances in this region, including this one.
-    std::vector<std::string> near;
+    std::vector<std::string> same_region;
     /// Caches: instances that keep a copy for others.
     std::vector<std::string> caches;
 };
@@ -52,9 +52,9 @@
         std::function<void(Schema::PieceMap const&)> announce;
         /// Announces newly held chunks to peers in other regions. It is called at once for chunks read from the origin, and every 500 ms at
         /// most for others. If null, `announce` serves the peers in all regions.
-        std::function<void(Schema::PieceMap const&)> announce_far {};
+        std::function<void(Schema::PieceMap const&)> announce_to_other_regions {};
         /// The manifest of the wanted version has been received. The transfer starts when `begin()` is called.
-        std::function<void()> manifest_taken;
+        std::function<void()> manifest_accepted;
         /// The verified chunk with this index in the wanted version is held.
         std::function<void(size_t chunk)> chunk_held;
         /// Returns whether this instance still needs a version's chunks.
@@ -78,7 +78,7 @@
 
     /// Adds a chunk of the wanted version from bytes that were found on this machine. The manifest must be known.
     /// @return false if the bytes do not match the chunk's digest, or the chunk was already held.
-    bool adopt(size_t chunk, std::string const& bytes);
+    bool add_local_chunk(size_t chunk, std::string const& bytes);
     /// Starts the transfer of the missing chunks. The manifest must be known.
     void begin();
 
@@ -97,9 +97,9 @@
     std::vector<Schema::PieceMap> held() const;
     bool has_manifest() const { return m_wanted.has_value(); }
     /// Whether the version can be fetched: its manifest is known, or a peer has announced the version.
-    bool is_under_way() const { return has_manifest() || (m_goal && !peers_with_manifest().empty()); }
+    bool can_be_fetched() const { return has_manifest() || (m_goal && !peers_with_manifest().empty()); }
     /// Returns the state of the wanted version's transfer, for deciding whether a transfer of the version `newer` should wait for it.
-    Distribution::TransferStand stand(int64_t newer, Core::Time now) const;
+    Distribution::TransferProgress transfer_progress(int64_t newer, Core::Time now) const;
     bool is_complete() const { return m_transfer && m_transfer->is_complete(); }
     /// The manifest and the chunks of the wanted version. has_manifest() must be true.
     Platform::Manifest const& manifest() const { return m_wanted->manifest; }
@@ -122,12 +122,12 @@
         int status { 0 };
     };
 
-    void seek_manifest(Core::Time now);
-    bool awaits_cache(Core::Time now) const;
+    void request_manifest(Core::Time now);
+    bool should_wait_for_cache(Core::Time now) const;
     std::vector<std::string> peers_with_manifest() const;
     void read_manifest_from_origin();
     void read_manifest_from_peer(std::string const& peer);
-    void take_manifest(Platform::Manifest const&, std::string const& source);
+    void accept_manifest(Platform::Manifest const&, std::string const& source);
     void run_transfer(Core::Time now);
     void start_fetch(Distribution::Fetch const&);
     void fetch_from_origin(Distribution::Fetch const&);
@@ -139,11 +139,11 @@
     bool is_whole(KnownVersion const&) const;
     void keep_as_older();
     void keep_needed_chunks();
-    Schema::PieceMap map_of(KnownVersion const&) const;
-    void announce_news();
-    void announce_news_far(Core::Time now);
-    Schema::PieceMap news(std::vector<int64_t> chunks) const;
-    void note_origin(Core::ErrorOr<std::string> const& answer);
+    Schema::PieceMap piece_map_of(KnownVersion const&) const;
+    void announce_new_chunks();
+    void announce_new_chunks_to_other_regions(Core::Time now);
+    Schema::PieceMap announcement_of(std::vector<int64_t> chunks) const;
+    void log_origin_change(Core::ErrorOr<std::string> const& answer);
     void log_progress(Core::Time now);
     void log_complete() const;
 
@@ -157,12 +157,12 @@
     std::optional<Schema::WeightsGoal> m_goal;
     Core::Time m_named_at { 0 };
     // When this process set the version as its goal.
-    Core::Time m_turned_at { 0 };
+    Core::Time m_goal_set_at { 0 };
     std::optional<KnownVersion> m_wanted;
     // A previous version that is kept for other instances. A complete one is not replaced by an incomplete one.
     std::optional<KnownVersion> m_older;
-    Core::Time m_next_manifest_try { 0 };
-    size_t m_manifest_tries { 0 };
+    Core::Time m_next_manifest_attempt { 0 };
+    size_t m_manifest_attempts { 0 };
     Distribution::ChunkStore m_store;
     std::unique_ptr<Distribution::Transfer> m_transfer;
     PeerChunks m_peer_chunks;
@@ -173,12 +173,12 @@
     // Chunks that were not announced to peers yet.
     std::vector<int64_t> m_unannounced;
     // Chunks that were not announced to peers in other regions yet, and whether some of them came from the origin.
-    std::vector<int64_t> m_unannounced_far;
-    bool m_has_origin_news { false };
-    Core::Time m_announced_far_at { 0 };
-    bool m_is_complete_told { false };
+    std::vector<int64_t> m_unannounced_to_other_regions;
+    bool m_has_unannounced_origin_chunk { false };
+    Core::Time m_announced_to_other_regions_at { 0 };
+    bool m_is_complete_logged { false };
     bool m_is_origin_failing { false };
-    Core::Time m_progress_told_at { 0 };
+    Core::Time m_progress_logged_at { 0 };
 };
 
 }
--- a/Services/Weights/CopyGoal.h
+++ b/Services/Weights/CopyGoal.h
@@ -18,7 +18,7 @@
         std::function<bool(int64_t version)> is_seeking;
         /// The current version is about to be replaced by `next`, which was named at `named_at`. present() still returns the current one.
         /// May be null.
-        std::function<void(Schema::WeightsGoal const& next, Core::Time named_at)> turning;
+        std::function<void(Schema::WeightsGoal const& next, Core::Time named_at)> before_switch;
     };
 
     /// The fetcher must outlive this object.
@@ -27,12 +27,12 @@
     /// Applies a named version. A version without chunks and origin, and one older than the current one, is ignored. A newer one replaces
     /// the current one, or waits until its transfer is complete. For the current version, the earlier of both times is kept.
     /// @return whether the version has replaced the current one.
-    bool name(Schema::WeightsGoal const&, Core::Time named_at);
+    bool on_version_named(Schema::WeightsGoal const&, Core::Time named_at);
     /// Switches to the waiting version, if there is one that need not wait any longer.
-    void take_next();
+    void switch_if_due();
 
     /// The current version; std::nullopt before the first version is named.
-    std::optional<Schema::WeightsGoal> const& present() const { return m_present; }
+    std::optional<Schema::WeightsGoal> const& current() const { return m_current; }
     /// When the current version was named.
     Core::Time named_at() const { return m_named_at; }
 
@@ -42,12 +42,12 @@
         Core::Time named_at { 0 };
     };
 
-    bool is_finishing_first(int64_t newer) const;
-    void turn_to(Schema::WeightsGoal const&, Core::Time named_at);
+    bool must_finish_current_first(int64_t newer) const;
+    void switch_to(Schema::WeightsGoal const&, Core::Time named_at);
 
     CopyFetcher& m_fetcher;
     Callbacks m_callbacks;
-    std::optional<Schema::WeightsGoal> m_present;
+    std::optional<Schema::WeightsGoal> m_current;
     Core::Time m_named_at { 0 };
     std::optional<Next> m_next;
 };
--- a/Tests/LibDistribution/TestEngineControl.cpp
+++ b/Tests/LibDistribution/TestEngineControl.cpp
@@ -79,7 +79,7 @@
     EXPECT_TRUE(control.step(Core::Time(0), 0, true).has_value());
 }
 
-TEST(EngineControl, AStatusFromBeforeTheOrderWasAnsweredIsNotBelieved)
+TEST(EngineControl, AStatusFromBeforeTheOrderWasAnsweredIsIgnored)
 {
     EngineControl control;
     FakeEngine engine;
@@ -93,7 +93,7 @@
     EXPECT_FALSE(control.serving().has_value());
 }
 
-RC_GTEST_PROP(EngineControl, WhatItSaysIsServedIsWhatTheEngineServesAndFencesOnlyGrow, (uint64_t seed))
+RC_GTEST_PROP(EngineControl, ServingMatchesTheEngineAndFencesOnlyGrow, (uint64_t seed))
 {
     std::mt19937_64 random(seed);
     auto control = std::make_unique<EngineControl>();
@@ -181,11 +181,11 @@
     }
 }
 
-RC_GTEST_PROP(Switch, AtLeastAllButTheSlackServeDuringASwitch, (uint64_t seed))
+RC_GTEST_PROP(Switch, AtMostTheAllowedNumberIsOutOfServiceDuringASwitch, (uint64_t seed))
 {
     std::mt19937_64 random(seed);
     auto const count = *rc::gen::inRange<size_t>(1, 30);
-    auto const slack = switch_slack(count);
+    auto const max_switching = max_instances_switching(count);
     std::vector<std::string> ranked;
     for (size_t i = 0; i < count; ++i)
         ranked.push_back("i" + std::to_string(i));
@@ -206,11 +206,11 @@
                     told.push_back(ranked[j]);
             }
         }
-        if (copies[i] == Copy::Old && may_switch(ranked[i], ranked, told, slack))
+        if (copies[i] == Copy::Old && may_switch(ranked[i], ranked, told, max_switching))
             copies[i] = Copy::Out;
         else if (copies[i] == Copy::Out && random() % 2 == 0)
             copies[i] = Copy::New;
-        RC_ASSERT(static_cast<size_t>(std::count(copies.begin(), copies.end(), Copy::Out)) <= slack);
+        RC_ASSERT(static_cast<size_t>(std::count(copies.begin(), copies.end(), Copy::Out)) <= max_switching);
     }
     RC_ASSERT(static_cast<size_t>(std::count(copies.begin(), copies.end(), Copy::New)) == count);
 }
--- a/Tests/LibDistribution/TestPeerGroup.cpp
+++ b/Tests/LibDistribution/TestPeerGroup.cpp
@@ -19,22 +19,22 @@
 
 TEST(PeerGroup, AFewInstancesAreOneGroup)
 {
-    auto const all = peers(largest_whole_group / 4);
+    auto const all = peers(max_undivided_group_size / 4);
     EXPECT_EQ(peer_group(all, "b1", regions).size(), all.size());
 }
 
 TEST(PeerGroup, ManyInstancesAreGroupedByRegion)
 {
-    auto const all = peers(largest_whole_group);
-    EXPECT_EQ(peer_group(all, "a1", regions).size(), 2 * largest_whole_group);
-    EXPECT_EQ(peer_group(all, "b1", regions).size(), largest_whole_group);
-    EXPECT_EQ(peer_group(all, "unnamed", regions).size(), largest_whole_group);
+    auto const all = peers(max_undivided_group_size);
+    EXPECT_EQ(peer_group(all, "a1", regions).size(), 2 * max_undivided_group_size);
+    EXPECT_EQ(peer_group(all, "b1", regions).size(), max_undivided_group_size);
+    EXPECT_EQ(peer_group(all, "unnamed", regions).size(), max_undivided_group_size);
 }
 
 // Each instance computes from its group whose turn it is to switch, so all members must compute the same group.
 TEST(PeerGroup, AllOfAGroupHaveTheSameGroup)
 {
-    auto const all = peers(largest_whole_group);
+    auto const all = peers(max_undivided_group_size);
     for (auto const& peer : all) {
         auto const group = peer_group(all, peer.failure_domain, regions);
         EXPECT_TRUE(std::any_of(group.begin(), group.end(), [&](auto const& other) { return other.identity == peer.identity; }));
--- a/Tests/LibDistribution/TestStagedLoad.cpp
+++ b/Tests/LibDistribution/TestStagedLoad.cpp
@@ -76,7 +76,7 @@
                 load.on_read_back(back->chunk, is_right, now);
             } else if (auto const* order = std::get_if<OrderLoad>(&action)) {
                 for (auto const& at : right)
-                    RC_ASSERT(at && now - *at <= settings.read_back_holds);
+                    RC_ASSERT(at && now - *at <= settings.read_back_validity);
                 bool const is_taken = engine.take(2, order->expected_sequence.value());
                 bool const is_answered = *rc::gen::inRange(0, 4) != 0;
                 load.on_ordered(!is_answered ? Platform::OrderOutcome::Unknown : is_taken ? Platform::OrderOutcome::Taken
@@ -132,7 +132,7 @@
     EXPECT_EQ(order->expected_sequence, 0);
 }
 
-TEST(StagedLoad, AnOrderWithoutAnAnswerIsNotRepeatedUntilTheReportHasHadTimeToTell)
+TEST(StagedLoad, AnOrderWithoutAnAnswerIsNotRepeatedBeforeItsResultTimeout)
 {
     StagedLoadSettings const settings;
     StagedLoad load(2, 1, settings);
@@ -146,12 +146,12 @@
     load.on_report(report(0, false, 0), layers, Core::Time(100));
     finish_calls(load, Core::Time(101), order);
     EXPECT_FALSE(order.has_value());
-    load.on_report(report(0, false, 0), layers, Core::Time(2) + settings.order_patience);
-    finish_calls(load, Core::Time(3) + settings.order_patience, order);
+    load.on_report(report(0, false, 0), layers, Core::Time(2) + settings.order_result_timeout);
+    finish_calls(load, Core::Time(3) + settings.order_result_timeout, order);
     EXPECT_TRUE(order.has_value());
 }
 
-TEST(StagedLoad, TheWaitForTheAnswerOfALostOrderIsPartOfTheWaitForItsReport)
+TEST(StagedLoad, TheWaitForALostAnswerCountsTowardsTheOrdersResultTimeout)
 {
     StagedLoadSettings const settings;
     StagedLoad load(2, 1, settings);
@@ -163,8 +163,8 @@
     // Nothing was received on the order's connection, and the call timed out.
     load.on_ordered(Platform::OrderOutcome::Unknown, Core::Time(1001));
     order.reset();
-    load.on_report(report(0, false, 0), layers, Core::Time(1) + settings.order_patience);
-    finish_calls(load, Core::Time(2) + settings.order_patience, order);
+    load.on_report(report(0, false, 0), layers, Core::Time(1) + settings.order_result_timeout);
+    finish_calls(load, Core::Time(2) + settings.order_result_timeout, order);
     ASSERT_TRUE(order.has_value());
     EXPECT_EQ(order->expected_sequence, 0);
 }
@@ -177,13 +177,13 @@
     return version;
 }
 
-TEST(TransferDistance, WhatIsHeldNearByIsNeverReadFromFarAway)
+TEST(TransferDistance, ChunksHeldInTheRegionAreNeverReadFromAnotherRegion)
 {
     TransferSettings settings;
-    settings.origin_patience = Core::Duration(1000000);
+    settings.origin_wait = Core::Duration(1000000);
     settings.seeders = 1;
     Transfer transfer(spec_of(8), "self", { "near", "far", "self" }, {}, settings, 1, Core::Time(0));
-    transfer.set_near({ "self", "near" });
+    transfer.set_region_instances({ "self", "near" });
     transfer.on_peer_chunks("far", { 0, 1, 2, 3, 4, 5, 6, 7 });
     transfer.on_peer_chunks("near", { 0, 1, 2, 3 });
     for (int64_t now = 0; now < 200; ++now) {
@@ -197,14 +197,14 @@
     }
 }
 
-TEST(TransferDistance, AChunkThatNobodyNearHoldsComesFromFarAwayInTheEnd)
+TEST(TransferDistance, AChunkHeldOnlyInAnotherRegionIsReadFromThereEventually)
 {
     TransferSettings settings;
-    settings.origin_patience = Core::Duration(1000000);
+    settings.origin_wait = Core::Duration(1000000);
     settings.seeders = 1;
     std::vector<std::string> const near { "self", "n1", "n2", "n3" };
     Transfer transfer(spec_of(4), "self", { "far", "self", "n1", "n2", "n3" }, {}, settings, 1, Core::Time(0));
-    transfer.set_near(near);
+    transfer.set_region_instances(near);
     transfer.on_peer_chunks("far", { 0, 1, 2, 3 });
     for (int64_t now = 0; now < 10000 && !transfer.is_complete(); now += 10) {
         for (auto const& action : transfer.step(Core::Time(now)))
@@ -214,7 +214,7 @@
     EXPECT_TRUE(transfer.is_complete());
 }
 
-TEST(TransferDistance, ASeederKeepsItsLinkForTheOriginsChunks)
+TEST(TransferDistance, ASeederLimitsItsReadsFromPeers)
 {
     TransferSettings settings;
     settings.fetches_in_flight = 6;
@@ -249,7 +249,7 @@
 {
     // Seen in scenario scale-1 of both sites: the origin was reachable again for ten seconds before any instance read from it.
     TransferSettings settings;
-    settings.longest_fault_wait = Core::Duration(1000);
+    settings.max_peer_backoff = Core::Duration(1000);
     Transfer transfer(spec_of(1), "self", { "self" }, {}, settings, 1, Core::Time(0));
     int64_t last_ask = 0;
     int64_t longest_gap = 0;
@@ -272,9 +272,9 @@
     busy_engine.running = 9;
     load.on_report(busy_engine, layers, Core::Time(0));
     std::optional<OrderLoad> order;
-    auto run = [&](int64_t now, SwitchTerms terms) {
+    auto run = [&](int64_t now, SwitchPermissions permissions) {
         for (int round = 0; round < 10; ++round) {
-            for (auto const& action : load.step(Core::Time(now), terms)) {
+            for (auto const& action : load.step(Core::Time(now), permissions)) {
                 if (auto const* stage = std::get_if<StageChunk>(&action))
                     load.on_staged(stage->chunk, true);
                 else if (auto const* back = std::get_if<ReadBackChunk>(&action))
@@ -289,14 +289,14 @@
     run(20, { .may_switch = true, .may_evict = true });
     EXPECT_TRUE(load.is_switching());
     EXPECT_FALSE(order.has_value());
-    run(20 + settings.drain_patience.count() - 1, { .may_switch = true, .may_evict = true });
+    run(20 + settings.drain_timeout.count() - 1, { .may_switch = true, .may_evict = true });
     EXPECT_FALSE(order.has_value());
-    run(20 + settings.drain_patience.count(), { .may_switch = true, .may_evict = true });
+    run(20 + settings.drain_timeout.count(), { .may_switch = true, .may_evict = true });
     ASSERT_TRUE(order.has_value());
     EXPECT_EQ(order->manner, Platform::LoadManner::EvictRunning);
 }
 
-TEST(StagedLoad, WhatMayNotGoOnElsewhereIsNeverCut)
+TEST(StagedLoad, RequestsAreNotEvictedUnlessAllowed)
 {
     StagedLoad load(2, 1, {});
     load.on_held(0);
@@ -318,7 +318,7 @@
     EXPECT_EQ(order->manner, Platform::LoadManner::WaitForRunning);
 }
 
-TEST(StagedLoad, AnEngineThatServesANewerVersionIsNotTurnedBack)
+TEST(StagedLoad, AnEngineThatServesANewerVersionIsNotOrderedBack)
 {
     static constexpr size_t chunks = 2;
     StagedLoad load(2, chunks, {});
@@ -344,7 +344,7 @@
     return report;
 }
 
-TEST(StagedLoad, ARestartIsSeenByItsStartWhereTheSequenceIsNoLower)
+TEST(StagedLoad, ARestartIsDetectedByTheStartTimeIfTheSequenceIsNotLower)
 {
     StagedLoad load(2, 1, {});
     load.on_held(0);
@@ -361,7 +361,7 @@
     EXPECT_EQ(order->expected_sequence, 0);
 }
 
-TEST(StagedLoad, ARestartIsSeenPastAReportThatFailed)
+TEST(StagedLoad, ARestartIsDetectedAfterAFailedReport)
 {
     StagedLoad load(2, 1, {});
     load.on_held(0);
@@ -392,7 +392,7 @@
     EXPECT_TRUE(std::holds_alternative<ReadBackChunk>(actions[0]));
 }
 
-TEST(StagedLoad, AChunkReadBackFromThePredecessorIsReadAgain)
+TEST(StagedLoad, AChunkReadBackFromAnEarlierIncarnationIsReadBackAgain)
 {
     StagedLoad load(2, 1, {});
     load.on_held(0);
@@ -407,7 +407,7 @@
     EXPECT_TRUE(std::holds_alternative<ReadBackChunk>(actions[0]));
 }
 
-TEST(StagedLoad, ThePredecessorsAnswerToAnOrderHoldsNothingUp)
+TEST(StagedLoad, AnEarlierIncarnationsAnswerToAnOrderDelaysNothing)
 {
     StagedLoad load(2, 1, {});
     load.on_held(0);
@@ -423,7 +423,7 @@
     EXPECT_TRUE(order.has_value());
 }
 
-TEST(StagedLoad, ALateReportOfThePredecessorIsNone)
+TEST(StagedLoad, ALateReportOfAnEarlierIncarnationIsNotAccepted)
 {
     StagedLoad load(2, 1, {});
     load.on_held(0);
--- a/Tests/LibDistribution/TestTransfer.cpp
+++ b/Tests/LibDistribution/TestTransfer.cpp
@@ -58,7 +58,7 @@
 TEST(Transfer, AStalledReadGoesElsewhere)
 {
     TransferSettings settings;
-    settings.stall = Core::Duration(1000);
+    settings.stall_timeout = Core::Duration(1000);
     Transfer transfer(version_of(1), "a", { "a", "b", "c" }, {}, settings, 1, Core::Time(0));
     transfer.on_peer_chunks("b", { 0 });
     auto const first = std::get<Fetch>(transfer.step(Core::Time(0)).at(0));
@@ -71,7 +71,7 @@
     EXPECT_EQ(std::get<Fetch>(actions[1]).source.peer, "c");
 }
 
-TEST(Transfer, APeerThatSendsCorruptChunksIsLeftAlone)
+TEST(Transfer, APeerThatSendsCorruptChunksIsBackedOffFrom)
 {
     Transfer transfer(version_of(64), "a", { "a", "b" }, {}, {}, 1, Core::Time(0));
     std::vector<int64_t> all(64);
@@ -92,7 +92,7 @@
     EXPECT_LE(from_peer, 8u);
 }
 
-RC_GTEST_PROP(Transfer, ItCompletesWithinItsLimitsWhateverSourcesDo, (uint64_t seed))
+RC_GTEST_PROP(Transfer, ItCompletesWithinItsLimitsWhenSourcesFail, (uint64_t seed))
 {
     auto const chunks = *rc::gen::inRange<size_t>(1, 40);
     TransferSettings settings;
@@ -171,7 +171,7 @@
         neighbours.resize(count);
         for (size_t i = 0; i < count; ++i) {
             TransferSettings settings;
-            settings.origin_patience = slot * 20;
+            settings.origin_wait = slot * 20;
             transfers.push_back(std::make_unique<Transfer>(version_of(chunks), ids[i], ids, std::vector<int64_t>(), settings, i, now));
             for (auto const& id : choose_neighbours(candidates[i], candidates, neighbour_count / 2, 0)) {
                 auto const other = static_cast<size_t>(std::find(ids.begin(), ids.end(), id) - ids.begin());
@@ -247,7 +247,7 @@
 
 }
 
-TEST(Swarm, AHealthySpreadReadsOneCopyFromTheOrigin)
+TEST(Swarm, ATransferWithoutFailuresReadsOneCopyFromTheOrigin)
 {
     Swarm swarm(24, 48, 16);
     auto const slots = swarm.slots_until_complete();
@@ -255,7 +255,7 @@
     EXPECT_LT(slots, 2 * swarm.chunks);
 }
 
-TEST(Swarm, TheSurvivorsOfDeathsInTheMiddleComplete)
+TEST(Swarm, TheRemainingInstancesCompleteAfterLosses)
 {
     Swarm swarm(20, 40, 16);
     for (int i = 0; i < 15; ++i)
@@ -327,11 +327,11 @@
     EXPECT_EQ(read.size(), chunks);
 }
 
-TEST(Transfer, WithoutTheCachesTheEnginesTurnToTheOriginAfterAWhile)
+TEST(Transfer, EnginesReadFromTheOriginAfterAWaitIfTheCachesAreLost)
 {
     TransferSettings settings;
     settings.fetches_in_flight = 4;
-    settings.origin_patience = Core::Duration(400);
+    settings.origin_wait = Core::Duration(400);
     Transfer transfer(version_of(4), "e1", { "e1", "e2" }, {}, settings, 1, Core::Time(0));
     transfer.set_caches({ "c1", "c2" });
     EXPECT_TRUE(fetches_of(transfer.step(Core::Time(0))).empty());
@@ -340,10 +340,10 @@
 
 // The seeder of a chunk and any number of the readers ranked after it may be lost. The time until another instance reads the chunk
 // must grow only with the logarithm of the fleet's size.
-TEST(Transfer, SomebodyAsksTheOriginSoonHoweverManyReadersAreLost)
+TEST(Transfer, TheOriginIsReadSoonHoweverManyReadersAreLost)
 {
     TransferSettings settings;
-    settings.origin_patience = Core::Duration(400);
+    settings.origin_wait = Core::Duration(400);
     for (size_t const instances : { 15, 400 }) {
         std::vector<std::string> caches;
         for (size_t i = 0; i < instances; ++i)
@@ -394,11 +394,11 @@
 
 // After an outage of the origin all instances have waited for long. When it is reachable again, the first in rank must read from it first,
 // or all would read at once.
-TEST(Transfer, NotAllAskAnOriginThatIsBackAtOnce)
+TEST(Transfer, AReturningOriginIsNotReadByAllAtOnce)
 {
     TransferSettings settings;
-    settings.origin_patience = Core::Duration(400);
-    settings.longest_fault_wait = Core::Duration(1000);
+    settings.origin_wait = Core::Duration(400);
+    settings.max_peer_backoff = Core::Duration(1000);
     std::vector<std::string> caches;
     for (size_t i = 0; i < 70; ++i)
         caches.push_back("c" + std::to_string(i));
@@ -421,10 +421,10 @@
 
 // The origin is unreachable for six seconds while the seeders are present. Backup readers must seldom retry, or they would read the same
 // chunks as the seeders when the origin is reachable again.
-TEST(Transfer, ThoseThatStandInAskSeldomWhileTheOriginFailsThemToo)
+TEST(Transfer, BackupReadersSeldomRetryAFailingOrigin)
 {
     TransferSettings settings;
-    settings.origin_patience = Core::Duration(400);
+    settings.origin_wait = Core::Duration(400);
     std::vector<std::string> const caches { "c0", "c1", "c2", "c3", "c4", "c5", "c6", "c7", "c8", "c9", "c10", "c11", "c12" };
     // A seeder retries every 250 ms, during the last four seconds.
     constexpr size_t asks_of_a_reader = 16;
@@ -446,7 +446,7 @@
     EXPECT_EQ(readers, settings.seeders);
 }
 
-TEST(Transfer, ACacheIsAskedBeforeOtherPeers)
+TEST(Transfer, ACacheIsPreferredToOtherPeers)
 {
     TransferSettings settings;
     settings.fetches_in_flight = 8;
@@ -461,13 +461,13 @@
         EXPECT_EQ(fetch.source.peer, "c1");
 }
 
-TEST(Transfer, OneCacheOfARegionBringsAChunkFromFarAway)
+TEST(Transfer, OneCacheOfARegionReadsAChunkFromAnotherRegion)
 {
     size_t readers = 0;
     for (auto const& self : { "c1", "c2", "e1", "e2" }) {
         Transfer transfer(version_of(1), self, { "e1", "e2" }, {}, {}, 1, Core::Time(0));
         transfer.set_caches({ "c1", "c2", "far" });
-        transfer.set_near({ "c1", "c2", "e1", "e2" });
+        transfer.set_region_instances({ "c1", "c2", "e1", "e2" });
         transfer.on_peer_chunks("far", { 0 });
         bool const has_read = !fetches_of(transfer.step(Core::Time(0))).empty();
         readers += has_read ? 1 : 0;
@@ -476,7 +476,7 @@
     EXPECT_EQ(readers, 1u);
 }
 
-TEST(Transfer, ANarrowLinkIsFilledByOneReadAtATime)
+TEST(Transfer, ChunksAreReadOneAtATimeOverASlowLink)
 {
     TransferSettings settings;
     settings.fetches_in_flight = 3;
@@ -492,7 +492,7 @@
     EXPECT_EQ(fetches_of(transfer.step(Core::Time(900))).size(), 1u);
 }
 
-TEST(Transfer, TheWaitAtABusySourceIsNoNarrowLink)
+TEST(Transfer, WaitingForABusySourceDoesNotCountAsASlowLink)
 {
     TransferSettings settings;
     settings.fetches_in_flight = 3;
@@ -507,7 +507,7 @@
     EXPECT_EQ(fetches_of(transfer.step(Core::Time(900))).size(), 3u);
 }
 
-TEST(Transfer, ReadsThatShareAWideLinkAreNotTakenForANarrowOne)
+TEST(Transfer, ConcurrentReadsOverAFastLinkDoNotCountAsASlowLink)
 {
     TransferSettings settings;
     settings.fetches_in_flight = 6;
@@ -523,7 +523,7 @@
     EXPECT_FALSE(fetches_of(transfer.step(Core::Time(220))).empty());
 }
 
-TEST(Transfer, CachesThatHoldNothingLeaveTheReadsFromPeersAsTheyAre)
+TEST(Transfer, CachesThatHoldNothingDoNotLimitTheReadsFromPeers)
 {
     TransferSettings settings;
     settings.fetches_in_flight = 6;
@@ -536,10 +536,10 @@
     EXPECT_TRUE(fetches_of(transfer.step(Core::Time(10))).empty());
 }
 
-TEST(Transfer, AReadIsNotDoubledJustBecauseTheOthersWereQuick)
+TEST(Transfer, AReadIsNotDuplicatedOnlyBecauseOthersWereFast)
 {
     TransferSettings settings;
-    settings.stall = Core::Duration(2000);
+    settings.stall_timeout = Core::Duration(2000);
     Transfer transfer(version_of(4), "e1", { "e1", "e2", "e3" }, {}, settings, 1, Core::Time(0));
     for (auto const* peer : { "e2", "e3" })
         transfer.on_peer_chunks(peer, { 0, 1, 2, 3 });
@@ -560,7 +560,7 @@
     size_t const chunks = 64;
     TransferSettings settings;
     settings.fetches_in_flight = 2 * chunks;
-    settings.stall = Core::Duration(2000);
+    settings.stall_timeout = Core::Duration(2000);
     Transfer transfer(version_of(chunks + 1), "e1", { "e1", "e2", "e3" }, {}, settings, 1, Core::Time(0));
     std::vector<int64_t> all;
     for (size_t i = 0; i <= chunks; ++i)
--- a/Tests/LibDistribution/TestUnmetGoals.cpp
+++ b/Tests/LibDistribution/TestUnreachedVersions.cpp
@@ -1,12 +1,12 @@
 // SPDX-License-Identifier: BSD-2-Clause
-#include <LibDistribution/UnmetGoals.h>
+#include <LibDistribution/UnreachedVersions.h>
 #include <gtest/gtest.h>
 
 using namespace Distribution;
 
-TEST(UnmetGoals, AVersionThatWasSkippedKeepsItsEarlierBound)
+TEST(UnreachedVersions, AVersionThatWasSkippedKeepsItsEarlierDeadline)
 {
-    UnmetGoals goals;
+    UnreachedVersions goals;
     goals.on_named(2, Core::Time(1000));
     goals.on_named(3, Core::Time(5000));
     EXPECT_EQ(goals.oldest_named_at(), Core::Time(1000));
@@ -14,18 +14,18 @@
     EXPECT_FALSE(goals.oldest_named_at().has_value());
 }
 
-TEST(UnmetGoals, AVersionThatWasReachedMeanwhileRushesNobodyToTheNext)
+TEST(UnreachedVersions, AReachedVersionNoLongerSetsTheDeadline)
 {
-    UnmetGoals goals;
+    UnreachedVersions goals;
     goals.on_named(2, Core::Time(1000));
     goals.on_named(3, Core::Time(5000));
     goals.on_serving(2);
     EXPECT_EQ(goals.oldest_named_at(), Core::Time(5000));
 }
 
-TEST(UnmetGoals, ARestartedEngineHasNoEarlierBoundThanThatOfTheNewestVersion)
+TEST(UnreachedVersions, ARestartedEngineHasNoEarlierDeadlineThanThatOfTheNewestVersion)
 {
-    UnmetGoals goals;
+    UnreachedVersions goals;
     goals.on_named(2, Core::Time(1000));
     goals.on_serving(2);
     goals.on_serving(0);
--- a/Tests/Weights/TestCopyFetcher.cpp
+++ b/Tests/Weights/TestCopyFetcher.cpp
@@ -26,17 +26,17 @@
     {
         return {
             .announce = [this](Schema::PieceMap const& map) { m_announced[map.version].insert(map.chunks.begin(), map.chunks.end()); },
-            .announce_far = [this](Schema::PieceMap const& map) { m_announced_far[map.version].insert(map.chunks.begin(), map.chunks.end()); },
-            .manifest_taken = [this] { m_fetcher.begin(); },
+            .announce_to_other_regions = [this](Schema::PieceMap const& map) { m_announced_to_other_regions[map.version].insert(map.chunks.begin(), map.chunks.end()); },
+            .manifest_accepted = [this] { m_fetcher.begin(); },
             .chunk_held = [](size_t) {},
             .is_seeking = [](int64_t) { return true; },
             .is_lacked = [this](int64_t version) { return version == m_lacked; },
             .also_used = [] { return nullptr; },
-            .sources = [this] { return CopySources { .targets = { "a" }, .near = {}, .caches = m_caches }; },
+            .sources = [this] { return CopySources { .targets = { "a" }, .same_region = {}, .caches = m_caches }; },
         };
     }
 
-    void turn_to(int64_t version)
+    void switch_to(int64_t version)
     {
         Schema::WeightsGoal goal {};
         goal.model = "m";
@@ -66,7 +66,7 @@
     Core::Metrics m_metrics;
     HeldBackOrigin m_origin;
     std::map<int64_t, std::set<int64_t>> m_announced;
-    std::map<int64_t, std::set<int64_t>> m_announced_far;
+    std::map<int64_t, std::set<int64_t>> m_announced_to_other_regions;
     int64_t m_lacked { 0 };
     std::vector<std::string> m_caches;
     CopyFetcher m_fetcher;
@@ -74,25 +74,25 @@
 
 }
 
-TEST_F(CopyFetcherTest, FarAwayPeersAreToldAtOnceOfWhatCameFromTheOrigin)
+TEST_F(CopyFetcherTest, ChunksFromTheOriginAreAnnouncedToOtherRegionsAtOnce)
 {
-    turn_to(1);
+    switch_to(1);
     fetch_all();
     m_fetcher.turn(Core::monotonic_now());
-    EXPECT_EQ(m_announced_far[1], (std::set<int64_t> { 0, 1, 2 }));
+    EXPECT_EQ(m_announced_to_other_regions[1], (std::set<int64_t> { 0, 1, 2 }));
 }
 
 // If reads are not cancelled, the origin keeps sending chunks that no instance needs.
-TEST_F(CopyFetcherTest, ReadsOfTheOriginEndWithTheVersionThatTheyWereFor)
+TEST_F(CopyFetcherTest, ReadsFromTheOriginAreCancelledWhenTheVersionChanges)
 {
-    turn_to(1);
+    switch_to(1);
     m_fetcher.turn(Core::monotonic_now());
     m_origin.deliver_one();
     ASSERT_TRUE(m_fetcher.has_manifest());
     auto const reads = m_origin.waiting();
     EXPECT_GE(reads, 1u);
     EXPECT_TRUE(m_origin.cancelled().empty());
-    turn_to(2);
+    switch_to(2);
     EXPECT_EQ(m_origin.cancelled().size(), reads);
 }
 
@@ -123,20 +123,20 @@
     EXPECT_EQ(readers, settings().transfer.seeders);
 }
 
-TEST_F(CopyFetcherTest, WhatCameLastIsAnnouncedBeforeTheNextVersionBegins)
+TEST_F(CopyFetcherTest, TheLastChunksAreAnnouncedBeforeTheNextVersionBegins)
 {
-    turn_to(1);
+    switch_to(1);
     fetch_all();
-    turn_to(2);
+    switch_to(2);
     EXPECT_EQ(m_announced[1], (std::set<int64_t> { 0, 1, 2 }));
 }
 
-TEST_F(CopyFetcherTest, AWholeOlderVersionIsKeptAndToldOfWhileSomebodyLacksIt)
+TEST_F(CopyFetcherTest, ACompleteOlderVersionIsKeptAndAnnouncedWhileAnInstanceLacksIt)
 {
     m_lacked = 1;
-    turn_to(1);
+    switch_to(1);
     fetch_all();
-    turn_to(2);
+    switch_to(2);
     fetch_manifest();
     auto const maps = m_fetcher.held();
     ASSERT_EQ(maps.size(), 2u);
@@ -151,34 +151,34 @@
     EXPECT_TRUE(holds(1, 0)) << "the newer version has this chunk as well";
 }
 
-TEST_F(CopyFetcherTest, AVersionGivenUpHalfwayDoesNotReplaceAWholeOlderOne)
+TEST_F(CopyFetcherTest, AnIncompleteVersionDoesNotReplaceACompleteOlderOne)
 {
     m_lacked = 1;
-    turn_to(1);
+    switch_to(1);
     fetch_all();
-    turn_to(2);
+    switch_to(2);
     m_fetcher.turn(Core::monotonic_now());
-    turn_to(3);
+    switch_to(3);
     fetch_manifest();
     EXPECT_TRUE(holds(1, 1));
     EXPECT_TRUE(holds(1, 2));
 }
 
-TEST_F(CopyFetcherTest, AVersionIsUnderWayOnceAPeerHasToldOfIt)
+TEST_F(CopyFetcherTest, AVersionCanBeFetchedOnceAPeerHasAnnouncedIt)
 {
-    turn_to(2);
-    EXPECT_FALSE(m_fetcher.is_under_way());
+    switch_to(2);
+    EXPECT_FALSE(m_fetcher.can_be_fetched());
     Schema::PieceMap map {};
     map.model = "m";
     map.version = 3;
     m_fetcher.on_peer_pieces("b", map);
-    EXPECT_FALSE(m_fetcher.is_under_way());
+    EXPECT_FALSE(m_fetcher.can_be_fetched());
     map.version = 2;
     m_fetcher.on_peer_pieces("b", map);
-    EXPECT_TRUE(m_fetcher.is_under_way());
+    EXPECT_TRUE(m_fetcher.can_be_fetched());
 }
 
-TEST(PeerChunks, APeersWordOnANewerVersionLeavesItsWordOnTheOlderOne)
+TEST(PeerChunks, AnAnnouncementOfANewerVersionKeepsThatOfTheOlderOne)
 {
     PeerChunks peers;
     auto const map = [](int64_t version, std::vector<int64_t> chunks) {
