--- a/Libraries/LibDistribution/EngineControl.cpp
+++ b/Libraries/LibDistribution/EngineControl.cpp
@@ -78,8 +78,8 @@
 
 std::optional<EngineControl::Order> EngineControl::step(Core::Time now, size_t in_flight, bool may_switch)
 {
-    bool const is_wanted = m_wanted && m_complete_digest == m_wanted->digest;
-    if (!is_wanted || m_order_in_flight || now < m_next_order_at)
+    bool const are_wanted_chunks_complete = m_wanted && m_complete_digest == m_wanted->digest;
+    if (!are_wanted_chunks_complete || m_order_in_flight || now < m_next_order_at)
         return {};
     // Without a status the engine's highest fence is not known, and the engine could refuse the order as an outdated one.
     if (!m_status || m_status->loading || is_ready())
@@ -99,15 +99,15 @@
 
 bool may_switch(std::string const& self, std::vector<std::string> const& ranked, std::vector<std::string> const& ready, size_t max_switching)
 {
-    size_t missing = 0;
+    size_t not_ready = 0;
     for (auto const& id : ranked) {
         if (id == self)
-            return missing < max_switching;
+            return not_ready < max_switching;
         if (std::find(ready.begin(), ready.end(), id) == ready.end())
-            missing += 1;
+            not_ready += 1;
     }
     // An instance that is not ranked keeps serving until all ranked instances are ready.
-    return missing == 0;
+    return not_ready == 0;
 }
 
 size_t max_instances_switching(size_t replicas)
--- a/Libraries/LibDistribution/ReadRanks.cpp
+++ b/Libraries/LibDistribution/ReadRanks.cpp
@@ -86,8 +86,8 @@
     auto const begin = group_begin(position);
     auto const end = std::bit_floor(position) * 2;
     auto const size = std::min(end, std::max(m_readers.size(), position + 1)) - begin;
-    bool const is_own = chunk % size == position - begin;
-    auto const rank = is_own ? begin : end;
+    bool const is_assigned = chunk % size == position - begin;
+    auto const rank = is_assigned ? begin : end;
     bool const has_caches_before = !m_caches.empty() && !is_cache(m_self);
     return has_caches_before ? std::max(rank, min_rank_behind_caches) : rank;
 }
--- a/Libraries/LibDistribution/ReadRanks.h
+++ b/Libraries/LibDistribution/ReadRanks.h
@@ -19,7 +19,7 @@
 public:
     /// @param self the id of this instance.
     /// @param targets the ids of the instances that want the version.
-    /// @param seeders how many instances read from the origin at once.
+    /// @param seeders the maximum number of seeders.
     ReadRanks(Schema::VersionSpec const&, std::string self, std::vector<std::string> targets, size_t seeders);
 
     void set_targets(std::vector<std::string> targets);
@@ -38,6 +38,7 @@
     /// This instance's rank, among those of its region, for reading a chunk from another region. Rank 0 reads it without waiting.
     size_t cross_region_rank(size_t chunk) const { return m_cross_region_ranks[chunk]; }
 
+    /// Whether this instance is the first of the targets, which alone reads from the origin in the chain strategy.
     bool is_first_target() const { return !m_targets.empty() && m_targets.front() == m_self; }
     /// Whether regions are ignored, because set_region_instances() has set none.
     bool ignores_regions() const { return m_region_instances.empty(); }
--- a/Libraries/LibDistribution/ReadTimes.h
+++ b/Libraries/LibDistribution/ReadTimes.h
@@ -9,8 +9,8 @@
 /// Exponentially weighted mean durations of this instance's chunk reads, to detect slow reads and a slow link.
 class ReadTimes {
 public:
-    /// Records a completed read. `took` is its whole duration, `first_to_last_byte` the time from its first bytes to its last if known, and
-    /// `reads` the number of reads that shared this instance's link, including this one.
+    /// Records a completed read. `duration` is its whole time, `first_to_last_byte` the time from its first bytes to its last if known, and
+    /// `concurrent_reads` the number of reads that shared this instance's link, including this one.
     void on_fetched(Core::Duration duration, std::optional<Core::Duration> first_to_last_byte, size_t concurrent_reads);
 
     /// Whether a read that has run for this time has taken at least twice as long as the mean. Always false before the first completed
--- a/Libraries/LibDistribution/SourceBackoff.cpp
+++ b/Libraries/LibDistribution/SourceBackoff.cpp
@@ -17,7 +17,7 @@
 
 void SourceBackoff::on_failed(Source const& source, FetchFailure failure, Core::Time now)
 {
-    if (failure == FetchFailure::Corrupt && ++m_corrupt[source] <= tolerated_corrupt_chunks)
+    if (failure == FetchFailure::Corrupt && ++m_corrupt_chunks[source] <= tolerated_corrupt_chunks)
         return;
     m_states[source].backed_off_until = now + backoff_after(source, failure);
 }
@@ -30,7 +30,7 @@
         return origin_backoff;
     if (failure == FetchFailure::Corrupt)
         return corrupt_backoff;
-    auto const doublings = std::min(m_states[source].faults++, max_backoff_doublings);
+    auto const doublings = std::min(m_states[source].failures++, max_backoff_doublings);
     return std::min(m_max_backoff, first_peer_backoff * (1 << doublings));
 }
 
--- a/Libraries/LibDistribution/SourceBackoff.h
+++ b/Libraries/LibDistribution/SourceBackoff.h
@@ -21,7 +21,7 @@
     /// Starts the backoff for a source. Up to two chunks with a wrong digest are tolerated per source without any backoff.
     void on_failed(Source const&, FetchFailure, Core::Time now);
     /// Resets the growth of a source's backoff after a successful read.
-    void on_fetched(Source const& source) { m_states[source].faults = 0; }
+    void on_fetched(Source const& source) { m_states[source].failures = 0; }
     /// Discards the backoff of a peer that was lost, so that it starts without one if it returns. Its count of corrupt chunks is kept.
     void forget(std::string const& peer) { m_states.erase(Source { peer }); }
 
@@ -31,7 +31,7 @@
 private:
     struct SourceState {
         // Failures since the last successful read, as far as they make the backoff longer.
-        size_t faults { 0 };
+        size_t failures { 0 };
         Core::Time backed_off_until { 0 };
     };
 
@@ -40,7 +40,7 @@
     Core::Duration m_max_backoff;
     std::map<Source, SourceState> m_states;
     // Number of chunks received with a wrong digest.
-    std::map<Source, uint64_t> m_corrupt;
+    std::map<Source, uint64_t> m_corrupt_chunks;
 };
 
 }
--- a/Libraries/LibDistribution/StagedLoad.cpp
+++ b/Libraries/LibDistribution/StagedLoad.cpp
@@ -34,7 +34,7 @@
     m_calls -= 1;
 }
 
-void StagedLoad::on_read_back(size_t chunk, bool is_right, Core::Time now)
+void StagedLoad::on_read_back(size_t chunk, bool is_correct, Core::Time now)
 {
     auto& state = m_chunks[chunk];
     state.is_in_call = false;
@@ -42,7 +42,7 @@
     // The staged chunk may have been lost when the engine restarted after the read-back was sent.
     if (std::exchange(state.is_call_outdated, false))
         return;
-    if (is_right) {
+    if (is_correct) {
         state.verified_at = now;
         return;
     }
@@ -140,8 +140,8 @@
 {
     for (size_t i = 0; i < m_chunks.size(); ++i) {
         auto& chunk = m_chunks[i];
-        bool const is_right = chunk.verified_at && now - *chunk.verified_at < m_settings.read_back_validity;
-        if (is_right || chunk.is_in_call)
+        bool const is_correct = chunk.verified_at && now - *chunk.verified_at < m_settings.read_back_validity;
+        if (is_correct || chunk.is_in_call)
             continue;
         chunk.is_in_call = true;
         m_calls += 1;
@@ -174,8 +174,8 @@
     auto const left = m_report->running + m_report->waiting;
     if (left == 0 || !permissions.may_evict)
         return Platform::LoadManner::WaitForRunning;
-    auto const patience = left <= m_settings.few_requests ? m_settings.few_requests_drain_timeout : m_settings.drain_timeout;
-    if (drained_for < patience)
+    auto const timeout = left <= m_settings.few_requests ? m_settings.few_requests_drain_timeout : m_settings.drain_timeout;
+    if (drained_for < timeout)
         return {};
     return Platform::LoadManner::EvictRunning;
 }
@@ -192,13 +192,13 @@
             m_draining_since.reset();
         return actions;
     }
-    auto const load_manner_now = load_manner(now, permissions);
-    bool const is_due = load_manner_now.has_value() || m_draining_since.has_value();
-    if (load_manner_now && are_all_read_back(now)) {
+    auto const allowed_manner = load_manner(now, permissions);
+    bool const is_due = allowed_manner.has_value() || m_draining_since.has_value();
+    if (allowed_manner && are_all_read_back(now)) {
         m_is_ordering = true;
         m_order_sent_at = now;
         m_draining_since.reset();
-        actions.emplace_back(OrderLoad { m_report->order_sequence, *load_manner_now });
+        actions.emplace_back(OrderLoad { m_report->order_sequence, *allowed_manner });
         return actions;
     }
     has_more = is_due;
--- a/Libraries/LibDistribution/StagedLoad.h
+++ b/Libraries/LibDistribution/StagedLoad.h
@@ -78,8 +78,8 @@
     void on_held(size_t chunk);
     /// Records the result of a StageChunk action.
     void on_staged(size_t chunk, bool has_succeeded);
-    /// Records the result of a ReadBackChunk action: whether the bytes had the right digest. A chunk that had not is staged again.
-    void on_read_back(size_t chunk, bool is_right, Core::Time now);
+    /// Records the result of a ReadBackChunk action: whether the bytes had the right digest. A chunk with a wrong digest is staged again.
+    void on_read_back(size_t chunk, bool is_correct, Core::Time now);
     /// Applies an engine's report. `layers` is the number of layers of the model, all of which the engine must hold to serve a version.
     /// A report of an earlier incarnation than the last report is treated like on_unreachable(). The next one is accepted in any case,
     /// since the engine's clock may have been set back.
--- a/Libraries/LibDistribution/Transfer.h
+++ b/Libraries/LibDistribution/Transfer.h
@@ -57,14 +57,15 @@
     /// The next chunk to read from a peer is the one with the fewest holders in a random sample of this size. If 0, the sample is all
     /// chunks: then all instances request the newest chunk from its few holders, and the uplinks of the other instances are idle.
     size_t rarity_sample { 0 };
-    /// The corresponding wait before a chunk that no peer in this region holds is read from a peer in another region.
+    /// How long the instance with rank 1 in its region waits before it reads a chunk that no peer in the region holds from another region.
+    /// The wait grows with the rank like `origin_wait`.
     Core::Duration cross_region_wait { 400 };
     /// Longest backoff from a peer. The backoff doubles with each failure in a row.
     Core::Duration max_peer_backoff { 16000 };
     /// A read that has received nothing for this time is cancelled, and its source is backed off from.
     Core::Duration stall_timeout { 2000 };
     /// The corresponding time for a read from the origin, which reports no progress before the whole chunk has arrived, and which sends to
-    /// many instances at once. If 0, `stall` applies.
+    /// many instances at once. If 0, `stall_timeout` applies.
     Core::Duration origin_stall_timeout { 0 };
 };
 
@@ -100,10 +101,11 @@
     /// Records that a neighbour, and thus the chunks that it held, can no longer be reached.
     void on_peer_lost(std::string const& peer);
 
-    /// Records that some bytes of a read arrived. These three functions ignore reads that have ended or were cancelled.
+    /// Records that some bytes of a read arrived. Like the next two functions, it ignores reads that have ended or were cancelled.
     void on_progress(uint64_t fetch, Core::Time now);
     /// Records that a read completed and its bytes matched the chunk's digest.
     void on_fetched(uint64_t fetch, Core::Time now);
+    /// Records that a read failed, and starts the backoff from its source. A peer without the chunk (Missing) only loses it as a holder.
     void on_failed(uint64_t fetch, FetchFailure, Core::Time now);
 
     /// Cancels the reads that have stalled or whose chunk is already held. Returns these cancellations and the reads to start now.
@@ -122,7 +124,7 @@
     };
     Unheld unheld() const;
 
-    /// Whether chunks are missing, no read is in flight, and none has completed for half of the `stall` setting. Other neighbours may then
+    /// Whether chunks are missing, no read is in flight, and none has completed for half of `stall_timeout`. Other neighbours may then
     /// hold chunks that the current ones do not.
     bool is_starved(Core::Time now) const;
 
--- a/Libraries/LibDistribution/TransferProgress.h
+++ b/Libraries/LibDistribution/TransferProgress.h
@@ -35,8 +35,8 @@
     if (progress.time_since_named < progress.deadline / 2)
         return true;
     // The missing quarter takes a small part of the time that the held chunks took.
-    bool const is_nearly_whole = progress.chunk_count > 0 && progress.held_count * 4 >= progress.chunk_count * 3;
-    return is_nearly_whole && !progress.is_newer_held_by_peers && progress.time_since_named < progress.deadline * 3 / 4;
+    bool const is_nearly_complete = progress.chunk_count > 0 && progress.held_count * 4 >= progress.chunk_count * 3;
+    return is_nearly_complete && !progress.is_newer_held_by_peers && progress.time_since_named < progress.deadline * 3 / 4;
 }
 
 }
--- a/Services/Weights/ChunkServer.h
+++ b/Services/Weights/ChunkServer.h
@@ -16,6 +16,7 @@
 /// source.
 inline constexpr Core::Duration upload_send_timeout { 2000 };
 
+/// Limits of a ChunkServer.
 struct ChunkServerSettings {
     /// Limit of the bytes per second sent to all peers together. If 0, there is no limit.
     int64_t bytes_per_second { 0 };
--- a/Services/Weights/CopyFetcher.cpp
+++ b/Services/Weights/CopyFetcher.cpp
@@ -151,12 +151,12 @@
 
 std::vector<std::string> CopyFetcher::peers_with_manifest() const
 {
-    std::vector<std::string> stocked;
+    std::vector<std::string> peers_with_chunks;
     std::vector<std::string> others;
     for (auto const& [peer, chunks] : m_peer_chunks.holders_of(m_goal->model, m_goal->version))
-        (chunks.empty() ? others : stocked).push_back(peer);
+        (chunks.empty() ? others : peers_with_chunks).push_back(peer);
     // A peer that has announced no chunk may not have the manifest either.
-    return stocked.empty() ? others : stocked;
+    return peers_with_chunks.empty() ? others : peers_with_chunks;
 }
 
 bool CopyFetcher::should_wait_for_cache(Core::Time now) const
@@ -229,8 +229,8 @@
     bool const is_wanted = manifest.model == m_goal->model && manifest.version == m_goal->version;
     // If the configuration does not say how many chunks the version has, the manifest's number is accepted.
     bool const is_whole = m_goal->chunks > 0 ? manifest.digests.size() == static_cast<size_t>(m_goal->chunks) : !manifest.digests.empty();
-    bool const is_sound = std::all_of(manifest.digests.begin(), manifest.digests.end(), [](auto const& digest) { return digest.size() == digest_characters; });
-    if (!is_wanted || !is_whole || !is_sound) {
+    bool const has_valid_digests = std::all_of(manifest.digests.begin(), manifest.digests.end(), [](auto const& digest) { return digest.size() == digest_characters; });
+    if (!is_wanted || !is_whole || !has_valid_digests) {
         m_metrics.count("mountbarrow_manifest_failures_total", "source=\"spoilt\"");
         Core::log_event(Core::LogLevel::Warn, "manifest_refused", { { "source", source }, { "version", std::to_string(manifest.version) }, { "digests", std::to_string(manifest.digests.size()) } });
         return;
@@ -247,11 +247,11 @@
 void CopyFetcher::serve_manifest(Transport::HttpExchange& exchange) const
 {
     auto const version = exchange.query("version");
-    auto const is_asked_for = [&version](std::optional<KnownVersion> const& known) {
+    auto const is_requested = [&version](std::optional<KnownVersion> const& known) {
         return known && (!version || *version == std::to_string(known->manifest.version));
     };
-    auto const& known = version && is_asked_for(m_older) ? m_older : m_wanted;
-    if (!is_asked_for(known)) {
+    auto const& known = version && is_requested(m_older) ? m_older : m_wanted;
+    if (!is_requested(known)) {
         exchange.reply(status_not_found, {}, {});
         return;
     }
--- a/Services/Weights/CopyGoal.cpp
+++ b/Services/Weights/CopyGoal.cpp
@@ -44,8 +44,8 @@
 
 bool CopyGoal::must_finish_current_first(int64_t newer) const
 {
-    bool const is_sought = m_current && m_callbacks.is_seeking(m_current->version);
-    return is_sought && Distribution::should_finish_first(m_fetcher.transfer_progress(newer, Core::monotonic_now()));
+    bool const is_needed = m_current && m_callbacks.is_seeking(m_current->version);
+    return is_needed && Distribution::should_finish_first(m_fetcher.transfer_progress(newer, Core::monotonic_now()));
 }
 
 void CopyGoal::switch_to(Schema::WeightsGoal const& goal, Core::Time named_at)
--- a/Services/Weights/CopyGoal.h
+++ b/Services/Weights/CopyGoal.h
@@ -16,7 +16,7 @@
     struct Callbacks {
         /// Returns whether this instance still needs a version.
         std::function<bool(int64_t version)> is_seeking;
-        /// The current version is about to be replaced by `next`, which was named at `named_at`. present() still returns the current one.
+        /// The current version is about to be replaced by `next`, which was named at `named_at`. current() still returns the old one.
         /// May be null.
         std::function<void(Schema::WeightsGoal const& next, Core::Time named_at)> before_switch;
     };
--- a/Tests/LibDistribution/TestEngineControl.cpp
+++ b/Tests/LibDistribution/TestEngineControl.cpp
@@ -174,9 +174,9 @@
             bool const is_taken = engine.order(*order);
             answer = is_taken && random() % 4 != 0;
         }
-        if (auto const said = control->serving()) {
+        if (auto const reported = control->serving()) {
             RC_ASSERT(engine.serving.has_value());
-            RC_ASSERT(engine.serving->digest == said->digest);
+            RC_ASSERT(engine.serving->digest == reported->digest);
         }
     }
 }
@@ -195,18 +195,18 @@
         New,
     };
     std::vector<Copy> copies(count, Copy::Old);
-    std::vector<std::string> told;
+    std::vector<std::string> known_ready;
     for (int step = 0; step < 2000; ++step) {
         auto const i = random() % count;
         // An instance's information on the others may be outdated, but a copy that serves the new version keeps serving it.
         if (random() % 3 == 0) {
-            told.clear();
+            known_ready.clear();
             for (size_t j = 0; j < count; ++j) {
                 if (copies[j] == Copy::New)
-                    told.push_back(ranked[j]);
+                    known_ready.push_back(ranked[j]);
             }
         }
-        if (copies[i] == Copy::Old && may_switch(ranked[i], ranked, told, max_switching))
+        if (copies[i] == Copy::Old && may_switch(ranked[i], ranked, known_ready, max_switching))
             copies[i] = Copy::Out;
         else if (copies[i] == Copy::Out && random() % 2 == 0)
             copies[i] = Copy::New;
--- a/Tests/LibDistribution/TestStagedLoad.cpp
+++ b/Tests/LibDistribution/TestStagedLoad.cpp
@@ -95,8 +95,8 @@
                 load.on_staged(stage->chunk, true);
             else if (auto const* back = std::get_if<ReadBackChunk>(&action))
                 load.on_read_back(back->chunk, true, now);
-            else if (auto const* due = std::get_if<OrderLoad>(&action))
-                order = *due;
+            else if (auto const* due_order = std::get_if<OrderLoad>(&action))
+                order = *due_order;
         }
     }
 }
@@ -235,13 +235,13 @@
 TEST(TransferDistance, AReaderOfTheOriginAsksItWithinAQuarterOfASecondOfItsReturn)
 {
     Transfer transfer(spec_of(1), "self", { "self" }, {}, {}, 1, Core::Time(0));
-    Core::Time last_ask { 0 };
+    Core::Time last_attempt { 0 };
     for (Core::Time now { 0 }; now < Core::Time(6000); now += Core::Duration(10)) {
         for (auto const& action : transfer.step(now)) {
-            last_ask = now;
+            last_attempt = now;
             transfer.on_failed(std::get<Fetch>(action).id, FetchFailure::Unreachable, now);
         }
-        ASSERT_LE(now - last_ask, Core::Duration(250));
+        ASSERT_LE(now - last_attempt, Core::Duration(250));
     }
 }
 
@@ -251,12 +251,12 @@
     TransferSettings settings;
     settings.max_peer_backoff = Core::Duration(1000);
     Transfer transfer(spec_of(1), "self", { "self" }, {}, settings, 1, Core::Time(0));
-    int64_t last_ask = 0;
+    int64_t last_attempt = 0;
     int64_t longest_gap = 0;
     for (int64_t now = 0; now < 20000; now += 10) {
         for (auto const& action : transfer.step(Core::Time(now))) {
-            longest_gap = std::max(longest_gap, now - last_ask);
-            last_ask = now;
+            longest_gap = std::max(longest_gap, now - last_attempt);
+            last_attempt = now;
             transfer.on_failed(std::get<Fetch>(action).id, FetchFailure::Unreachable, Core::Time(now));
         }
     }
@@ -279,8 +279,8 @@
                     load.on_staged(stage->chunk, true);
                 else if (auto const* back = std::get_if<ReadBackChunk>(&action))
                     load.on_read_back(back->chunk, true, Core::Time(now));
-                else if (auto const* due = std::get_if<OrderLoad>(&action))
-                    order = *due;
+                else if (auto const* due_order = std::get_if<OrderLoad>(&action))
+                    order = *due_order;
             }
         }
     };
@@ -310,8 +310,8 @@
                 load.on_staged(stage->chunk, true);
             else if (auto const* back = std::get_if<ReadBackChunk>(&action))
                 load.on_read_back(back->chunk, true, Core::Time(now));
-            else if (auto const* due = std::get_if<OrderLoad>(&action))
-                order = *due;
+            else if (auto const* due_order = std::get_if<OrderLoad>(&action))
+                order = *due_order;
         }
     }
     ASSERT_TRUE(order.has_value());
@@ -338,7 +338,7 @@
     }
 }
 
-static Platform::EngineReport born(int64_t started_at_ms, Platform::EngineReport report)
+static Platform::EngineReport started_at(int64_t started_at_ms, Platform::EngineReport report)
 {
     report.started_at_ms = started_at_ms;
     return report;
@@ -348,12 +348,12 @@
 {
     StagedLoad load(2, 1, {});
     load.on_held(0);
-    load.on_report(born(1000, report(0, false, 0)), layers, Core::Time(0));
+    load.on_report(started_at(1000, report(0, false, 0)), layers, Core::Time(0));
     std::optional<OrderLoad> order;
     finish_calls(load, Core::Time(1), order);
     ASSERT_TRUE(order.has_value());
     load.on_ordered(Platform::OrderOutcome::Unknown, Core::Time(2));
-    load.on_report(born(2000, report(0, false, 0)), layers, Core::Time(100));
+    load.on_report(started_at(2000, report(0, false, 0)), layers, Core::Time(100));
     EXPECT_FALSE(load.is_switching());
     order.reset();
     finish_calls(load, Core::Time(101), order);
@@ -365,12 +365,12 @@
 {
     StagedLoad load(2, 1, {});
     load.on_held(0);
-    load.on_report(born(1000, report(0, false, 0)), layers, Core::Time(0));
+    load.on_report(started_at(1000, report(0, false, 0)), layers, Core::Time(0));
     std::optional<OrderLoad> order;
     finish_calls(load, Core::Time(1), order);
     load.on_ordered(Platform::OrderOutcome::Taken, Core::Time(2));
     load.on_unreachable();
-    load.on_report(born(2000, report(0, false, 0)), layers, Core::Time(100));
+    load.on_report(started_at(2000, report(0, false, 0)), layers, Core::Time(100));
     EXPECT_FALSE(load.is_switching());
 }
 
@@ -378,14 +378,14 @@
 {
     StagedLoad load(2, 1, {});
     load.on_held(0);
-    auto serving = born(1000, report(1, false, 0));
+    auto serving = started_at(1000, report(1, false, 0));
     load.on_report(serving, layers, Core::Time(0));
     std::optional<OrderLoad> order;
     finish_calls(load, Core::Time(10), order);
     ASSERT_FALSE(order.has_value());
     EXPECT_TRUE(load.is_switching());
     // The staged chunks may have been lost in a power failure.
-    load.on_report(born(2000, report(0, false, 0)), layers, Core::Time(100));
+    load.on_report(started_at(2000, report(0, false, 0)), layers, Core::Time(100));
     EXPECT_FALSE(load.is_switching());
     auto const actions = load.step(Core::Time(101));
     ASSERT_EQ(actions.size(), 1u);
@@ -396,11 +396,11 @@
 {
     StagedLoad load(2, 1, {});
     load.on_held(0);
-    load.on_report(born(1000, report(0, false, 0)), layers, Core::Time(0));
+    load.on_report(started_at(1000, report(0, false, 0)), layers, Core::Time(0));
     ASSERT_TRUE(std::holds_alternative<StageChunk>(load.step(Core::Time(1)).at(0)));
     load.on_staged(0, true);
     ASSERT_TRUE(std::holds_alternative<ReadBackChunk>(load.step(Core::Time(2)).at(0)));
-    load.on_report(born(2000, report(0, false, 0)), layers, Core::Time(3));
+    load.on_report(started_at(2000, report(0, false, 0)), layers, Core::Time(3));
     load.on_read_back(0, true, Core::Time(4));
     auto const actions = load.step(Core::Time(5));
     ASSERT_EQ(actions.size(), 1u);
@@ -411,11 +411,11 @@
 {
     StagedLoad load(2, 1, {});
     load.on_held(0);
-    load.on_report(born(1000, report(0, false, 0)), layers, Core::Time(0));
+    load.on_report(started_at(1000, report(0, false, 0)), layers, Core::Time(0));
     std::optional<OrderLoad> order;
     finish_calls(load, Core::Time(1), order);
     ASSERT_TRUE(order.has_value());
-    load.on_report(born(2000, report(0, false, 0)), layers, Core::Time(100));
+    load.on_report(started_at(2000, report(0, false, 0)), layers, Core::Time(100));
     load.on_ordered(Platform::OrderOutcome::Unknown, Core::Time(1000));
     EXPECT_FALSE(load.is_switching());
     order.reset();
@@ -427,13 +427,13 @@
 {
     StagedLoad load(2, 1, {});
     load.on_held(0);
-    load.on_report(born(2000, report(0, false, 0)), layers, Core::Time(0));
-    load.on_report(born(1000, report(2, false, 7)), layers, Core::Time(1));
+    load.on_report(started_at(2000, report(0, false, 0)), layers, Core::Time(0));
+    load.on_report(started_at(1000, report(2, false, 7)), layers, Core::Time(1));
     EXPECT_FALSE(load.is_serving());
     std::optional<OrderLoad> order;
     finish_calls(load, Core::Time(2), order);
     EXPECT_FALSE(order.has_value());
     // An engine that keeps reporting an earlier start is running: its clock was set back.
-    load.on_report(born(1000, report(2, false, 7)), layers, Core::Time(100));
+    load.on_report(started_at(1000, report(2, false, 7)), layers, Core::Time(100));
     EXPECT_TRUE(load.is_serving());
 }
--- a/Tests/LibDistribution/TestTransfer.cpp
+++ b/Tests/LibDistribution/TestTransfer.cpp
@@ -102,12 +102,12 @@
     std::mt19937_64 random(seed);
     std::map<uint64_t, Fetch> running;
     std::map<size_t, size_t> reads;
-    auto const troubles_end = Core::Time(20000);
+    auto const failures_end = Core::Time(20000);
     for (Core::Time now { 0 }; now < Core::Time(120000) && !transfer.is_complete(); now += Core::Duration(20)) {
-        bool const is_troubled = now < troubles_end;
-        if (is_troubled && random() % 20 == 0)
+        bool const has_failures = now < failures_end;
+        if (has_failures && random() % 20 == 0)
             transfer.on_peer_chunks(targets[1 + random() % 3], { static_cast<int64_t>(random() % (chunks + 3)) - 1 });
-        if (is_troubled && random() % 100 == 0)
+        if (has_failures && random() % 100 == 0)
             transfer.on_peer_lost(targets[1 + random() % 3]);
         for (auto const& action : transfer.step(now)) {
             if (auto const* cancel = std::get_if<CancelFetch>(&action)) {
@@ -128,10 +128,10 @@
         for (auto const& [id, fetch] : running)
             ids.push_back(id);
         for (auto id : ids) {
-            auto const luck = random() % 100;
-            if (luck < 20 || !is_troubled) {
+            auto const chance = random() % 100;
+            if (chance < 20 || !has_failures) {
                 transfer.on_fetched(id, now);
-            } else if (luck < 40) {
+            } else if (chance < 40) {
                 static constexpr FetchFailure failures[] = { FetchFailure::Busy, FetchFailure::Corrupt, FetchFailure::Missing, FetchFailure::Unreachable };
                 transfer.on_failed(id, failures[random() % 4], now);
             } else {
@@ -153,14 +153,14 @@
     std::vector<std::string> ids;
     std::vector<std::unique_ptr<Transfer>> transfers;
     std::vector<std::vector<std::string>> neighbours;
-    std::vector<bool> is_dead;
+    std::vector<bool> is_lost;
     size_t origin_reads { 0 };
     Core::Time now { 0 };
     std::vector<std::map<uint64_t, Fetch>> running;
 
     Swarm(size_t count, size_t chunk_count, size_t neighbour_count)
         : chunks(chunk_count)
-        , is_dead(count, false)
+        , is_lost(count, false)
         , running(count)
     {
         std::vector<NeighbourCandidate> candidates;
@@ -210,13 +210,13 @@
         now += slot;
         std::map<std::string, size_t> sent;
         for (size_t i = 0; i < ids.size(); ++i) {
-            if (is_dead[i])
+            if (is_lost[i])
                 continue;
             begin_reads(i);
             bool has_received = false;
             for (auto const& [id, fetch] : std::map(running[i])) {
-                bool const is_silent = !fetch.source.is_origin() && is_dead[index_of(fetch.source.peer)];
-                if (is_silent || has_received)
+                bool const has_no_sender = !fetch.source.is_origin() && is_lost[index_of(fetch.source.peer)];
+                if (has_no_sender || has_received)
                     continue;
                 size_t const slots = fetch.source.is_origin() ? 2 : 1;
                 if (sent[fetch.source.peer] < slots) {
@@ -237,7 +237,7 @@
             run_slot();
             bool is_done = true;
             for (size_t i = 0; i < ids.size(); ++i)
-                is_done = is_done && (is_dead[i] || transfers[i]->is_complete());
+                is_done = is_done && (is_lost[i] || transfers[i]->is_complete());
             if (is_done)
                 return slots;
         }
@@ -260,7 +260,7 @@
     Swarm swarm(20, 40, 16);
     for (int i = 0; i < 15; ++i)
         swarm.run_slot();
-    swarm.is_dead[3] = swarm.is_dead[11] = true;
+    swarm.is_lost[3] = swarm.is_lost[11] = true;
     for (auto const lost : { 3, 11 }) {
         for (auto const& transfer : swarm.transfers)
             transfer->on_peer_lost("i" + std::to_string(lost));
@@ -350,22 +350,22 @@
             caches.push_back("c" + std::to_string(i));
         for (size_t const lost : { size_t { 0 }, size_t { 1 }, size_t { 4 }, instances / 2, instances - 1 }) {
             auto const ranked = Core::rendezvous_order(version_of(1).digest, caches);
-            Core::Time first_asked { 1'000'000 };
-            size_t asked_at_once = 0;
+            Core::Time first_read_at { 1'000'000 };
+            size_t readers_at_once = 0;
             for (size_t i = lost; i < instances; ++i) {
                 Transfer transfer(version_of(1), ranked[i], {}, {}, settings, 1, Core::Time(0));
                 transfer.set_caches(caches);
-                for (Core::Time now { 0 }; now <= first_asked; now += Core::Duration(50)) {
+                for (Core::Time now { 0 }; now <= first_read_at; now += Core::Duration(50)) {
                     if (fetches_of(transfer.step(now)).empty())
                         continue;
-                    asked_at_once = now < first_asked ? 1 : asked_at_once + 1;
-                    first_asked = now;
+                    readers_at_once = now < first_read_at ? 1 : readers_at_once + 1;
+                    first_read_at = now;
                     break;
                 }
             }
             // The rank doubles nine times up to 400, and once more for instances that are not seeders.
-            EXPECT_LE(first_asked, Core::Time(10 * 400)) << instances << " instances, " << lost << " lost";
-            EXPECT_GE(asked_at_once, 1u);
+            EXPECT_LE(first_read_at, Core::Time(10 * 400)) << instances << " instances, " << lost << " lost";
+            EXPECT_GE(readers_at_once, 1u);
         }
     }
 }
@@ -381,7 +381,7 @@
             swarm.run_slot();
         auto const ranked = Core::rendezvous_order(version_of(40).digest, swarm.ids);
         for (size_t lost = 0; lost < 8; ++lost) {
-            swarm.is_dead[swarm.index_of(ranked[lost])] = true;
+            swarm.is_lost[swarm.index_of(ranked[lost])] = true;
             for (auto const& transfer : swarm.transfers)
                 transfer->on_peer_lost(ranked[lost]);
             swarm.run_slot();
@@ -402,7 +402,7 @@
     std::vector<std::string> caches;
     for (size_t i = 0; i < 70; ++i)
         caches.push_back("c" + std::to_string(i));
-    std::set<std::string> asked_last;
+    std::set<std::string> late_readers;
     for (auto const& self : caches) {
         Transfer transfer(version_of(64), self, {}, {}, settings, 1, Core::Time(0));
         transfer.set_caches(caches);
@@ -410,13 +410,13 @@
             for (auto const& fetch : fetches_of(transfer.step(now))) {
                 transfer.on_failed(fetch.id, FetchFailure::Unreachable, now);
                 if (now >= Core::Time(5000))
-                    asked_last.insert(self);
+                    late_readers.insert(self);
             }
         }
     }
     // All seeders retry, and some of the other instances.
-    EXPECT_GE(asked_last.size(), settings.seeders);
-    EXPECT_LE(asked_last.size(), 35u);
+    EXPECT_GE(late_readers.size(), settings.seeders);
+    EXPECT_LE(late_readers.size(), 35u);
 }
 
 // The origin is unreachable for six seconds while the seeders are present. Backup readers must seldom retry, or they would read the same
@@ -427,21 +427,21 @@
     settings.origin_wait = Core::Duration(400);
     std::vector<std::string> const caches { "c0", "c1", "c2", "c3", "c4", "c5", "c6", "c7", "c8", "c9", "c10", "c11", "c12" };
     // A seeder retries every 250 ms, during the last four seconds.
-    constexpr size_t asks_of_a_reader = 16;
+    constexpr size_t attempts_of_a_reader = 16;
     size_t readers = 0;
     for (auto const& self : caches) {
         Transfer transfer(version_of(64), self, {}, {}, settings, 1, Core::Time(0));
         transfer.set_caches(caches);
-        size_t asks = 0;
+        size_t attempts = 0;
         for (Core::Time now { 0 }; now < Core::Time(6000); now += Core::Duration(50)) {
             for (auto const& fetch : fetches_of(transfer.step(now))) {
                 transfer.on_failed(fetch.id, FetchFailure::Unreachable, now);
-                asks += now >= Core::Time(2000) ? 1 : 0;
+                attempts += now >= Core::Time(2000) ? 1 : 0;
             }
         }
-        bool const is_reader = asks >= asks_of_a_reader;
+        bool const is_reader = attempts >= attempts_of_a_reader;
         readers += is_reader ? 1 : 0;
-        EXPECT_TRUE(is_reader || asks <= 1) << self << " asked " << asks << " times";
+        EXPECT_TRUE(is_reader || attempts <= 1) << self << " tried to read from the origin " << attempts << " times";
     }
     EXPECT_EQ(readers, settings.seeders);
 }
@@ -549,10 +549,10 @@
         transfer.on_fetched(first[i].id, Core::Time(2));
     // A busy machine delays a read by tens of milliseconds.
     EXPECT_TRUE(fetches_of(transfer.step(Core::Time(200))).empty());
-    auto const doubled = fetches_of(transfer.step(Core::Time(500)));
-    ASSERT_EQ(doubled.size(), 1u);
-    EXPECT_EQ(doubled[0].chunk, first[3].chunk);
-    EXPECT_NE(doubled[0].source.peer, first[3].source.peer);
+    auto const duplicates = fetches_of(transfer.step(Core::Time(500)));
+    ASSERT_EQ(duplicates.size(), 1u);
+    EXPECT_EQ(duplicates[0].chunk, first[3].chunk);
+    EXPECT_NE(duplicates[0].source.peer, first[3].source.peer);
 }
 
 TEST(Transfer, OnlyASmallPartOfAVersionIsReadTwice)
@@ -570,12 +570,12 @@
     auto const first = fetches_of(transfer.step(Core::Time(0)));
     ASSERT_EQ(first.size(), chunks + 1);
     transfer.on_fetched(first[0].id, Core::Time(2));
-    size_t doubled = 0;
+    size_t duplicates = 0;
     for (int64_t now = 100; now < 1900; now += 100) {
         for (auto const& fetch : first)
             transfer.on_progress(fetch.id, Core::Time(now));
-        doubled += fetches_of(transfer.step(Core::Time(now))).size();
+        duplicates += fetches_of(transfer.step(Core::Time(now))).size();
     }
-    EXPECT_GE(doubled, 1u);
-    EXPECT_LE(doubled, 1 + chunks / 16);
+    EXPECT_GE(duplicates, 1u);
+    EXPECT_LE(duplicates, 1 + chunks / 16);
 }
