--- a/Services/Weights/CopyFetcher.h
+++ b/Services/Weights/CopyFetcher.h
@@ -50,8 +50,8 @@
     struct Callbacks {
         /// Announces newly held chunks to peers. The first announcement of a version may contain no chunk.
         std::function<void(Schema::PieceMap const&)> announce;
-        /// Announces newly held chunks to peers in other regions. It is called at once for chunks read from the origin, and every 500 ms at
-        /// most for others. If null, `announce` serves the peers in all regions.
+        /// Announces newly held chunks to peers in other regions. It is called at once for chunks read from the origin, and at most every
+        /// 500 ms for others. If null, `announce` serves the peers in all regions.
         std::function<void(Schema::PieceMap const&)> announce_to_other_regions {};
         /// The manifest of the wanted version has been received. The transfer starts when `begin()` is called.
         std::function<void()> manifest_accepted;
