--- a/Libraries/LibDistribution/EngineControl.cpp
+++ b/Libraries/LibDistribution/EngineControl.cpp
@@ -5,7 +5,7 @@
 
 namespace Distribution {
 
-// Room for the changes of one agent's mind at one configuration offset.
+// Fences grow with the configuration offset. This many are left between two offsets for further orders at the same offset.
 static constexpr int64_t fences_per_offset = 1 << 16;
 static constexpr Core::Duration order_retry { 1000 };
 
@@ -27,19 +27,19 @@
 
 void EngineControl::on_status(Schema::EngineStatus const& status, Core::Time sent_at)
 {
-    // A status asked for before an order was answered says nothing of what came after it.
-    if (m_order_in_flight || sent_at < m_answered_at)
+    // A status that was requested before the last order was answered may not show the order's effect.
+    if (m_order_in_flight || sent_at < m_order_answered_at)
         return;
     m_status = status;
     m_fence = std::max(m_fence, status.fence);
     bool const has_settled = !status.loading;
     if (has_settled)
-        m_is_in_doubt = false;
+        m_is_order_outcome_unknown = false;
 }
 
 void EngineControl::on_unreachable()
 {
-    // It may come back as another process, with nothing loaded.
+    // The engine may return as a new process with nothing loaded.
     m_status.reset();
 }
 
@@ -49,18 +49,18 @@
         return;
     m_order_in_flight = false;
     m_is_draining_for_switch = false;
-    m_answered_at = now;
-    m_not_before = now + order_retry;
+    m_order_answered_at = now;
+    m_next_order_at = now + order_retry;
     m_status.reset();
     if (is_accepted)
         return;
-    m_is_in_doubt = true;
+    m_is_order_outcome_unknown = true;
     m_failed_orders += 1;
 }
 
 std::optional<Schema::Weights> EngineControl::serving() const
 {
-    if (!m_status || m_order_in_flight || m_is_in_doubt || m_status->loading || !m_status->serving)
+    if (!m_status || m_order_in_flight || m_is_order_outcome_unknown || m_status->loading || !m_status->serving)
         return {};
     auto const& reported = *m_status->serving;
     Schema::Weights weights;
@@ -78,10 +78,10 @@
 
 std::optional<EngineControl::Order> EngineControl::step(Core::Time now, size_t in_flight, bool may_switch)
 {
-    bool const is_wanted = m_wanted && m_complete_digest == m_wanted->digest;
-    if (!is_wanted || m_order_in_flight || now < m_not_before)
+    bool const are_wanted_chunks_complete = m_wanted && m_complete_digest == m_wanted->digest;
+    if (!are_wanted_chunks_complete || m_order_in_flight || now < m_next_order_at)
         return {};
-    // Without a status the highest fence is not known, and an order might be taken for a late one.
+    // Without a status the engine's highest fence is not known, and the engine could refuse the order as an outdated one.
     if (!m_status || m_status->loading || is_ready())
         return {};
     bool const serves_something = m_status->serving.has_value();
@@ -97,20 +97,20 @@
     return Order { m_fence, *m_wanted };
 }
 
-bool may_switch(std::string const& self, std::vector<std::string> const& ranked, std::vector<std::string> const& ready, size_t slack)
+bool may_switch(std::string const& self, std::vector<std::string> const& ranked, std::vector<std::string> const& ready, size_t max_switching)
 {
-    size_t missing = 0;
+    size_t not_ready = 0;
     for (auto const& id : ranked) {
         if (id == self)
-            return missing < slack;
+            return not_ready < max_switching;
         if (std::find(ready.begin(), ready.end(), id) == ready.end())
-            missing += 1;
+            not_ready += 1;
     }
-    // An instance outside the set serves until the set is complete.
-    return missing == 0;
+    // An instance that is not ranked keeps serving until all ranked instances are ready.
+    return not_ready == 0;
 }
 
-size_t switch_slack(size_t replicas)
+size_t max_instances_switching(size_t replicas)
 {
     return std::max<size_t>(1, replicas / 4);
 }
--- a/Services/DirectEntry/EntryWeights.h
+++ b/Services/DirectEntry/EntryWeights.h
@@ -60,7 +60,7 @@
     /// Sends to the entries and followed agents in this region.
     void announce(Schema::PieceMap const&);
     /// Sends to the entries of other regions.
-    void announce_far(Schema::PieceMap const&);
+    void announce_to_other_regions(Schema::PieceMap const&);
 
     EntryWeightsContext m_context;
     WeightsCache m_cache;
--- a/Services/DirectEntry/WeightsCache.h
+++ b/Services/DirectEntry/WeightsCache.h
@@ -36,7 +36,7 @@
         /// Sends which chunks are held here to the entries and the agents of this region.
         std::function<void(Schema::PieceMap const&)> announce;
         /// Sends which chunks are held here to the entries of other regions.
-        std::function<void(Schema::PieceMap const&)> announce_far;
+        std::function<void(Schema::PieceMap const&)> announce_to_other_regions;
         /// Whether some engine of a service serves an older version than this one.
         std::function<bool(std::string const& service, int64_t version)> is_wanted;
         /// Returns all linked entries, and those of this region, each with this one included.
--- a/Services/Weights/CopyFetcher.cpp
+++ b/Services/Weights/CopyFetcher.cpp
@@ -11,15 +11,15 @@
 using Distribution::FetchFailure;
 
 static constexpr Core::Duration progress_interval { 500 };
-// Of a chunk that the origin sent far away peers need one copy at once; what others then hold beside it is of use to them
-// only if its first holder is lost.
-static constexpr Core::Duration far_news_interval { 500 };
+// Peers in other regions need to know at once of the first copy of a chunk, which came from the origin. Further copies are of use to them
+// only if the first holder is lost, so they are announced at this interval.
+static constexpr Core::Duration other_regions_interval { 500 };
 static constexpr Core::Duration manifest_retry { 700 };
-// Nothing of a version can be read before its manifest: an origin that failed is asked for it again sooner than one that is slow.
+// No chunk of a version can be read before its manifest is known, so the request is repeated sooner if the origin fails than if it is slow.
 static constexpr Core::Duration failed_manifest_retry { 250 };
-// The origin's link is narrow, and a manifest takes as long as a seventh of a chunk: a few caches read it there, and the
-// others wait this long for one that has it.
-static constexpr Core::Duration cache_patience { 500 };
+// The origin's link is slow, and a manifest takes as long as a seventh of a chunk. So a few caches read it from the origin, and the other
+// instances wait this long for a peer that has it.
+static constexpr Core::Duration cache_wait { 500 };
 // SHA-256 in hexadecimal.
 static constexpr size_t digest_characters = 64;
 static constexpr int status_ok = 200;
@@ -47,26 +47,26 @@
         return;
     }
     Core::log_event(Core::LogLevel::Info, "goal_changed", { { "model", goal.model }, { "version", std::to_string(goal.version) }, { "origin", goal.origin_address }, { "peers", std::to_string(goal.peers.size()) } });
-    // What came since the last turn is still wanted by those that finish the version.
-    announce_news();
-    m_announced_far_at = Core::Time(0);
-    announce_news_far(Core::monotonic_now());
+    // Instances that still fetch the previous version need the chunks that arrived since the last announcement.
+    announce_new_chunks();
+    m_announced_to_other_regions_at = Core::Time(0);
+    announce_new_chunks_to_other_regions(Core::monotonic_now());
     keep_as_older();
     if (m_goal && m_goal->model != goal.model)
         m_older.reset();
     m_goal = goal;
     m_named_at = named_at;
-    m_turned_at = Core::monotonic_now();
-    m_manifest_tries = 0;
-    m_next_manifest_try = Core::Time(0);
+    m_goal_set_at = Core::monotonic_now();
+    m_manifest_attempts = 0;
+    m_next_manifest_attempt = Core::Time(0);
     m_transfer.reset();
     m_downloads.clear();
     m_fetch_chunks.clear();
     cancel_origin_reads();
     m_unannounced.clear();
-    m_unannounced_far.clear();
-    m_has_origin_news = false;
-    m_is_complete_told = false;
+    m_unannounced_to_other_regions.clear();
+    m_has_unannounced_origin_chunk = false;
+    m_is_complete_logged = false;
 }
 
 void CopyFetcher::update_sources()
@@ -76,7 +76,7 @@
     auto sources = m_callbacks.sources();
     m_transfer->set_caches(std::move(sources.caches));
     m_transfer->set_targets(std::move(sources.targets));
-    m_transfer->set_near(sources.near);
+    m_transfer->set_region_instances(sources.same_region);
 }
 
 void CopyFetcher::turn(Core::Time now)
@@ -84,36 +84,36 @@
     if (!m_goal)
         return;
     if (!m_wanted)
-        seek_manifest(now);
+        request_manifest(now);
     if (m_transfer && m_callbacks.is_seeking(m_goal->version)) {
         run_transfer(now);
         log_progress(now);
     }
-    announce_news();
-    announce_news_far(now);
+    announce_new_chunks();
+    announce_new_chunks_to_other_regions(now);
     drop_older_if_unneeded();
 }
 
-Distribution::TransferStand CopyFetcher::stand(int64_t newer, Core::Time now) const
+Distribution::TransferProgress CopyFetcher::transfer_progress(int64_t newer, Core::Time now) const
 {
-    Distribution::TransferStand stand;
+    Distribution::TransferProgress progress;
     if (!m_goal)
-        return stand;
-    stand.has_begun = is_under_way();
-    stand.is_complete = is_complete();
-    stand.chunks = m_transfer ? m_transfer->chunk_count() : 0;
-    stand.held = m_transfer ? m_transfer->held_count() : 0;
-    stand.is_newer_at_peers = m_peer_chunks.distinct_chunks(m_goal->model, newer) >= stand.chunks;
-    stand.since_named = now - m_named_at;
-    stand.bound = Core::Duration(m_goal->bound_ms);
-    return stand;
+        return progress;
+    progress.has_begun = can_be_fetched();
+    progress.is_complete = is_complete();
+    progress.chunk_count = m_transfer ? m_transfer->chunk_count() : 0;
+    progress.held_count = m_transfer ? m_transfer->held_count() : 0;
+    progress.is_newer_held_by_peers = m_peer_chunks.distinct_chunks(m_goal->model, newer) >= progress.chunk_count;
+    progress.time_since_named = now - m_named_at;
+    progress.deadline = Core::Duration(m_goal->bound_ms);
+    return progress;
 }
 
-// The version before.
+// Keeping and dropping the previous version.
 
 bool CopyFetcher::is_whole(KnownVersion const& version) const
 {
-    return m_store.held_of(version.spec).size() == version.spec.chunks.size();
+    return m_store.held_chunk_indices(version.spec).size() == version.spec.chunks.size();
 }
 
 void CopyFetcher::keep_as_older()
@@ -121,7 +121,7 @@
     if (!m_wanted)
         return;
     auto ended = *std::exchange(m_wanted, {});
-    // A whole version serves whoever is behind; of one that was given up unfinished, nobody may have the rest.
+    // A complete version is of use to instances that are behind. The missing chunks of an incomplete one may be held by no instance.
     bool const is_older_of_more_use = m_older && is_whole(*m_older) && !is_whole(ended);
     if (!is_older_of_more_use)
         m_older = std::move(ended);
@@ -129,7 +129,7 @@
 
 void CopyFetcher::drop_older_if_unneeded()
 {
-    // Until the wanted version's manifest is here, it is not known which of the older chunks it shares.
+    // Until the wanted version's manifest is known, it is not known which chunks both versions have.
     if (!m_older || !m_transfer || m_callbacks.is_lacked(m_older->manifest.version))
         return;
     Core::log_event(Core::LogLevel::Info, "older_copy_dropped", { { "version", std::to_string(m_older->manifest.version) } });
@@ -147,21 +147,21 @@
     m_store.keep_only(needed);
 }
 
-// The manifest.
+// Requesting and serving the manifest.
 
 std::vector<std::string> CopyFetcher::peers_with_manifest() const
 {
-    std::vector<std::string> stocked;
+    std::vector<std::string> peers_with_chunks;
     std::vector<std::string> others;
     for (auto const& [peer, chunks] : m_peer_chunks.holders_of(m_goal->model, m_goal->version))
-        (chunks.empty() ? others : stocked).push_back(peer);
-    // One that named no chunk yet may only be seeking the version, as this one is.
-    return stocked.empty() ? others : stocked;
+        (chunks.empty() ? others : peers_with_chunks).push_back(peer);
+    // A peer that has announced no chunk may not have the manifest either.
+    return peers_with_chunks.empty() ? others : peers_with_chunks;
 }
 
-bool CopyFetcher::awaits_cache(Core::Time now) const
+bool CopyFetcher::should_wait_for_cache(Core::Time now) const
 {
-    if (now - m_turned_at >= cache_patience)
+    if (now - m_goal_set_at >= cache_wait)
         return false;
     auto caches = m_callbacks.sources().caches;
     if (caches.empty())
@@ -171,19 +171,19 @@
     return std::find(ranked.begin(), readers_end, m_settings.identity) == readers_end;
 }
 
-void CopyFetcher::seek_manifest(Core::Time now)
+void CopyFetcher::request_manifest(Core::Time now)
 {
-    if (now < m_next_manifest_try)
+    if (now < m_next_manifest_attempt)
         return;
     auto const peers = peers_with_manifest();
-    if (peers.empty() && awaits_cache(now))
+    if (peers.empty() && should_wait_for_cache(now))
         return;
-    m_next_manifest_try = now + manifest_retry;
-    m_manifest_tries += 1;
-    // Every other try goes to the origin.
-    bool const is_peers_turn = !peers.empty() && m_manifest_tries % 2 == 1;
+    m_next_manifest_attempt = now + manifest_retry;
+    m_manifest_attempts += 1;
+    // Every second attempt goes to the origin.
+    bool const is_peers_turn = !peers.empty() && m_manifest_attempts % 2 == 1;
     if (is_peers_turn)
-        read_manifest_from_peer(peers[Core::stable_hash(m_settings.identity, std::to_string(m_manifest_tries)) % peers.size()]);
+        read_manifest_from_peer(peers[Core::stable_hash(m_settings.identity, std::to_string(m_manifest_attempts)) % peers.size()]);
     else if (!m_goal->origin_address.empty())
         read_manifest_from_origin();
 }
@@ -192,11 +192,11 @@
 {
     m_origin.read_manifest(m_goal->origin_address, m_goal->model, m_goal->version, [this](Core::ErrorOr<Platform::Manifest> manifest) {
         if (manifest.has_value()) {
-            take_manifest(*manifest, "origin");
+            accept_manifest(*manifest, "origin");
             return;
         }
         m_metrics.count("mountbarrow_manifest_failures_total", "source=\"origin\"");
-        m_next_manifest_try = std::min(m_next_manifest_try, Core::monotonic_now() + failed_manifest_retry);
+        m_next_manifest_attempt = std::min(m_next_manifest_attempt, Core::monotonic_now() + failed_manifest_retry);
     });
 }
 
@@ -218,19 +218,19 @@
         manifest.version = value.value("version", int64_t { 0 });
         manifest.chunk_bytes = value.value("chunk_bytes", int64_t { 0 });
         manifest.digests = value.value("digests", std::vector<std::string> {});
-        take_manifest(manifest, peer);
+        accept_manifest(manifest, peer);
     });
 }
 
-void CopyFetcher::take_manifest(Platform::Manifest const& manifest, std::string const& source)
+void CopyFetcher::accept_manifest(Platform::Manifest const& manifest, std::string const& source)
 {
     if (m_wanted || !m_goal)
         return;
     bool const is_wanted = manifest.model == m_goal->model && manifest.version == m_goal->version;
-    // Where the configuration does not say how many chunks there are, the manifest does.
+    // If the configuration does not say how many chunks the version has, the manifest's number is accepted.
     bool const is_whole = m_goal->chunks > 0 ? manifest.digests.size() == static_cast<size_t>(m_goal->chunks) : !manifest.digests.empty();
-    bool const is_sound = std::all_of(manifest.digests.begin(), manifest.digests.end(), [](auto const& digest) { return digest.size() == digest_characters; });
-    if (!is_wanted || !is_whole || !is_sound) {
+    bool const has_valid_digests = std::all_of(manifest.digests.begin(), manifest.digests.end(), [](auto const& digest) { return digest.size() == digest_characters; });
+    if (!is_wanted || !is_whole || !has_valid_digests) {
         m_metrics.count("mountbarrow_manifest_failures_total", "source=\"spoilt\"");
         Core::log_event(Core::LogLevel::Warn, "manifest_refused", { { "source", source }, { "version", std::to_string(manifest.version) }, { "digests", std::to_string(manifest.digests.size()) } });
         return;
@@ -240,18 +240,18 @@
         spec.chunks.push_back({ .bytes = manifest.chunk_bytes, .digest = digest });
     spec.digest = Configuration::weights_digest(spec.chunks);
     m_wanted = KnownVersion { manifest, std::move(spec) };
-    Core::log_event(Core::LogLevel::Info, "manifest_taken", { { "source", source }, { "version", std::to_string(manifest.version) }, { "already_held", std::to_string(m_store.held_of(m_wanted->spec).size()) } });
-    m_callbacks.manifest_taken();
+    Core::log_event(Core::LogLevel::Info, "manifest_taken", { { "source", source }, { "version", std::to_string(manifest.version) }, { "already_held", std::to_string(m_store.held_chunk_indices(m_wanted->spec).size()) } });
+    m_callbacks.manifest_accepted();
 }
 
 void CopyFetcher::serve_manifest(Transport::HttpExchange& exchange) const
 {
     auto const version = exchange.query("version");
-    auto const is_asked_for = [&version](std::optional<KnownVersion> const& known) {
+    auto const is_requested = [&version](std::optional<KnownVersion> const& known) {
         return known && (!version || *version == std::to_string(known->manifest.version));
     };
-    auto const& known = version && is_asked_for(m_older) ? m_older : m_wanted;
-    if (!is_asked_for(known)) {
+    auto const& known = version && is_requested(m_older) ? m_older : m_wanted;
+    if (!is_requested(known)) {
         exchange.reply(status_not_found, {}, {});
         return;
     }
@@ -260,9 +260,9 @@
     exchange.reply(status_ok, {}, text.dump());
 }
 
-// Moving chunks.
+// Fetching and announcing chunks.
 
-bool CopyFetcher::adopt(size_t chunk, std::string const& bytes)
+bool CopyFetcher::add_local_chunk(size_t chunk, std::string const& bytes)
 {
     Distribution::IncomingChunk incoming;
     incoming.append(bytes);
@@ -273,18 +273,18 @@
 {
     auto const now = Core::monotonic_now();
     keep_needed_chunks();
-    auto const held = m_store.held_of(m_wanted->spec);
+    auto const held = m_store.held_chunk_indices(m_wanted->spec);
     auto sources = m_callbacks.sources();
     m_transfer = std::make_unique<Distribution::Transfer>(m_wanted->spec, m_settings.identity, sources.targets, held, m_settings.transfer, Core::stable_hash(m_settings.identity, m_wanted->spec.digest), now);
     m_transfer->set_caches(std::move(sources.caches));
-    m_transfer->set_near(sources.near);
+    m_transfer->set_region_instances(sources.same_region);
     for (auto const& [peer, chunks] : m_peer_chunks.holders_of(m_wanted->manifest.model, m_wanted->manifest.version))
         m_transfer->on_peer_chunks(peer, { chunks.begin(), chunks.end() });
     for (auto chunk : held)
         m_callbacks.chunk_held(static_cast<size_t>(chunk));
-    m_callbacks.announce(map_of(*m_wanted));
-    if (m_callbacks.announce_far)
-        m_callbacks.announce_far(map_of(*m_wanted));
+    m_callbacks.announce(piece_map_of(*m_wanted));
+    if (m_callbacks.announce_to_other_regions)
+        m_callbacks.announce_to_other_regions(piece_map_of(*m_wanted));
     turn(now);
 }
 
@@ -303,12 +303,12 @@
         m_transfer->on_peer_lost(peer);
 }
 
-Schema::PieceMap CopyFetcher::map_of(KnownVersion const& known) const
+Schema::PieceMap CopyFetcher::piece_map_of(KnownVersion const& known) const
 {
     Schema::PieceMap map;
     map.model = known.manifest.model;
     map.version = known.manifest.version;
-    map.chunks = m_store.held_of(known.spec);
+    map.chunks = m_store.held_chunk_indices(known.spec);
     map.is_seeking = m_callbacks.is_seeking(map.version);
     return map;
 }
@@ -317,9 +317,9 @@
 {
     std::vector<Schema::PieceMap> maps;
     if (m_older)
-        maps.push_back(map_of(*m_older));
+        maps.push_back(piece_map_of(*m_older));
     if (m_wanted)
-        maps.push_back(map_of(*m_wanted));
+        maps.push_back(piece_map_of(*m_wanted));
     return maps;
 }
 
@@ -359,7 +359,7 @@
         m_origin_reads.erase(id);
         if (!m_wanted || m_wanted->manifest.version != version)
             return;
-        note_origin(bytes);
+        log_origin_change(bytes);
         if (!bytes.has_value()) {
             on_fetch_failed(id, FetchFailure::Unreachable);
             return;
@@ -384,7 +384,7 @@
     call.path = "/chunks/" + m_wanted->spec.chunks[fetch.chunk].digest + "?held=" + std::to_string(m_transfer->held_count());
     if (m_settings.is_cache)
         call.path += "&for=cache";
-    call.timeout = m_settings.transfer.stall;
+    call.timeout = m_settings.transfer.stall_timeout;
     auto download = std::make_unique<Download>();
     auto* raw = download.get();
     auto const id = fetch.id;
@@ -442,21 +442,21 @@
 
 void CopyFetcher::hold_chunk(size_t chunk, bool is_from_origin)
 {
-    // The same bytes may stand at several places of a version.
+    // Several chunks of a version may have the same bytes.
     auto const& digest = m_wanted->spec.chunks[chunk].digest;
     for (size_t i = 0; i < m_wanted->spec.chunks.size(); ++i) {
         if (m_wanted->spec.chunks[i].digest != digest)
             continue;
         m_unannounced.push_back(static_cast<int64_t>(i));
-        m_unannounced_far.push_back(static_cast<int64_t>(i));
+        m_unannounced_to_other_regions.push_back(static_cast<int64_t>(i));
         m_callbacks.chunk_held(i);
     }
-    m_has_origin_news = m_has_origin_news || is_from_origin;
-    if (m_transfer->is_complete() && !std::exchange(m_is_complete_told, true))
+    m_has_unannounced_origin_chunk = m_has_unannounced_origin_chunk || is_from_origin;
+    if (m_transfer->is_complete() && !std::exchange(m_is_complete_logged, true))
         log_complete();
 }
 
-Schema::PieceMap CopyFetcher::news(std::vector<int64_t> chunks) const
+Schema::PieceMap CopyFetcher::announcement_of(std::vector<int64_t> chunks) const
 {
     Schema::PieceMap map;
     map.model = m_wanted->manifest.model;
@@ -466,29 +466,29 @@
     return map;
 }
 
-void CopyFetcher::announce_news()
+void CopyFetcher::announce_new_chunks()
 {
     if (m_unannounced.empty())
         return;
-    m_callbacks.announce(news(std::exchange(m_unannounced, {})));
+    m_callbacks.announce(announcement_of(std::exchange(m_unannounced, {})));
 }
 
-void CopyFetcher::announce_news_far(Core::Time now)
+void CopyFetcher::announce_new_chunks_to_other_regions(Core::Time now)
 {
-    if (!m_callbacks.announce_far || m_unannounced_far.empty())
+    if (!m_callbacks.announce_to_other_regions || m_unannounced_to_other_regions.empty())
         return;
-    if (!m_has_origin_news && now - m_announced_far_at < far_news_interval)
+    if (!m_has_unannounced_origin_chunk && now - m_announced_to_other_regions_at < other_regions_interval)
         return;
-    m_announced_far_at = now;
-    m_has_origin_news = false;
-    m_callbacks.announce_far(news(std::exchange(m_unannounced_far, {})));
+    m_announced_to_other_regions_at = now;
+    m_has_unannounced_origin_chunk = false;
+    m_callbacks.announce_to_other_regions(announcement_of(std::exchange(m_unannounced_to_other_regions, {})));
 }
 
-// What the log says of it.
+// Log records.
 
-void CopyFetcher::note_origin(Core::ErrorOr<std::string> const& answer)
+void CopyFetcher::log_origin_change(Core::ErrorOr<std::string> const& answer)
 {
-    // While it fails it is asked again and again: only a change is worth a line.
+    // Requests are repeated while the origin fails, so only the first failure and the first success after it are logged.
     bool const was_failing = std::exchange(m_is_origin_failing, !answer.has_value());
     if (!answer.has_value() && !was_failing)
         Core::log_event(Core::LogLevel::Warn, "origin_lost", { { "origin", m_goal->origin_address }, { "reason", answer.error().detail } });
@@ -503,10 +503,10 @@
 
 void CopyFetcher::log_progress(Core::Time now)
 {
-    if (m_transfer->is_complete() || now - m_progress_told_at < progress_interval)
+    if (m_transfer->is_complete() || now - m_progress_logged_at < progress_interval)
         return;
-    m_progress_told_at = now;
-    Core::log_event(Core::LogLevel::Info, "transfer_progress", { { "version", std::to_string(m_wanted->manifest.version) }, { "held", std::to_string(m_transfer->held_count()) }, { "from_origin", std::to_string(m_metrics.counter("mountbarrow_chunks_total", "source=\"origin\"")) }, { "fetching", std::to_string(m_fetch_chunks.size()) }, { "held_nowhere", std::to_string(m_transfer->unheld().chunks) }, { "own_to_read", std::to_string(m_transfer->unheld().own) }, { "busy", std::to_string(m_metrics.counter("mountbarrow_fetch_failures_total", "reason=\"0\"")) }, { "after_ms", std::to_string((now - m_named_at).count()) } });
+    m_progress_logged_at = now;
+    Core::log_event(Core::LogLevel::Info, "transfer_progress", { { "version", std::to_string(m_wanted->manifest.version) }, { "held", std::to_string(m_transfer->held_count()) }, { "from_origin", std::to_string(m_metrics.counter("mountbarrow_chunks_total", "source=\"origin\"")) }, { "fetching", std::to_string(m_fetch_chunks.size()) }, { "held_nowhere", std::to_string(m_transfer->unheld().chunks) }, { "own_to_read", std::to_string(m_transfer->unheld().assigned) }, { "busy", std::to_string(m_metrics.counter("mountbarrow_fetch_failures_total", "reason=\"0\"")) }, { "after_ms", std::to_string((now - m_named_at).count()) } });
 }
 
 }
--- a/Tests/LibDistribution/TestEngineControl.cpp
+++ b/Tests/LibDistribution/TestEngineControl.cpp
@@ -18,7 +18,7 @@
 
 namespace {
 
-/// An engine that takes fenced orders, loads for a while, and may be restarted.
+/// An engine that accepts orders with a higher fence than the last, loads for a while, and may restart.
 struct FakeEngine {
     int64_t fence { 0 };
     std::optional<Schema::Weights> serving;
@@ -79,7 +79,7 @@
     EXPECT_TRUE(control.step(Core::Time(0), 0, true).has_value());
 }
 
-TEST(EngineControl, AStatusFromBeforeTheOrderWasAnsweredIsNotBelieved)
+TEST(EngineControl, AStatusFromBeforeTheOrderWasAnsweredIsIgnored)
 {
     EngineControl control;
     FakeEngine engine;
@@ -93,7 +93,7 @@
     EXPECT_FALSE(control.serving().has_value());
 }
 
-RC_GTEST_PROP(EngineControl, WhatItSaysIsServedIsWhatTheEngineServesAndFencesOnlyGrow, (uint64_t seed))
+RC_GTEST_PROP(EngineControl, ServingMatchesTheEngineAndFencesOnlyGrow, (uint64_t seed))
 {
     std::mt19937_64 random(seed);
     auto control = std::make_unique<EngineControl>();
@@ -139,7 +139,7 @@
             }
             break;
         case 6:
-            // The agent is started anew: it knows neither fences nor chunks.
+            // The agent restarts and knows neither fences nor chunks.
             if (random() % 5 == 0) {
                 control = std::make_unique<EngineControl>();
                 complete.clear();
@@ -150,7 +150,7 @@
             }
             break;
         case 7:
-            // The engine is started anew. Its agent learns of it from the status; until then requests are refused by the engine.
+            // The engine restarts. Its agent detects that from the status; until then the engine refuses requests.
             if (random() % 5 == 0) {
                 engine = FakeEngine();
                 control->on_unreachable();
@@ -170,22 +170,22 @@
             RC_ASSERT(complete.contains(order->weights.version));
             RC_ASSERT(order->fence > engine.fence);
             sent = order;
-            // The order may arrive, or arrive and lose its answer; it is then told as refused.
+            // The order arrives, but its answer may be lost. It is then recorded as not accepted.
             bool const is_taken = engine.order(*order);
             answer = is_taken && random() % 4 != 0;
         }
-        if (auto const said = control->serving()) {
+        if (auto const reported = control->serving()) {
             RC_ASSERT(engine.serving.has_value());
-            RC_ASSERT(engine.serving->digest == said->digest);
+            RC_ASSERT(engine.serving->digest == reported->digest);
         }
     }
 }
 
-RC_GTEST_PROP(Switch, AtLeastAllButTheSlackServeDuringASwitch, (uint64_t seed))
+RC_GTEST_PROP(Switch, AtMostTheAllowedNumberIsOutOfServiceDuringASwitch, (uint64_t seed))
 {
     std::mt19937_64 random(seed);
     auto const count = *rc::gen::inRange<size_t>(1, 30);
-    auto const slack = switch_slack(count);
+    auto const max_switching = max_instances_switching(count);
     std::vector<std::string> ranked;
     for (size_t i = 0; i < count; ++i)
         ranked.push_back("i" + std::to_string(i));
@@ -195,22 +195,22 @@
         New,
     };
     std::vector<Copy> copies(count, Copy::Old);
-    std::vector<std::string> told;
+    std::vector<std::string> known_ready;
     for (int step = 0; step < 2000; ++step) {
         auto const i = random() % count;
-        // What an instance is told of the others may be old, but a copy that serves the new version goes on doing so.
+        // An instance's information on the others may be outdated, but a copy that serves the new version keeps serving it.
         if (random() % 3 == 0) {
-            told.clear();
+            known_ready.clear();
             for (size_t j = 0; j < count; ++j) {
                 if (copies[j] == Copy::New)
-                    told.push_back(ranked[j]);
+                    known_ready.push_back(ranked[j]);
             }
         }
-        if (copies[i] == Copy::Old && may_switch(ranked[i], ranked, told, slack))
+        if (copies[i] == Copy::Old && may_switch(ranked[i], ranked, known_ready, max_switching))
             copies[i] = Copy::Out;
         else if (copies[i] == Copy::Out && random() % 2 == 0)
             copies[i] = Copy::New;
-        RC_ASSERT(static_cast<size_t>(std::count(copies.begin(), copies.end(), Copy::Out)) <= slack);
+        RC_ASSERT(static_cast<size_t>(std::count(copies.begin(), copies.end(), Copy::Out)) <= max_switching);
     }
     RC_ASSERT(static_cast<size_t>(std::count(copies.begin(), copies.end(), Copy::New)) == count);
 }
--- a/Tests/LibDistribution/TestStagedLoad.cpp
+++ b/Tests/LibDistribution/TestStagedLoad.cpp
@@ -18,7 +18,7 @@
     return report;
 }
 
-/// An engine with staged chunks that turn bad, whose answers are lost, and which restarts.
+/// An engine that restarts, loses its answers to orders, and whose staged chunks become corrupt (state 2; 1 is correct, 0 is not staged).
 struct FakeEngine {
     std::vector<int> staged;
     int64_t version { 0 };
@@ -76,7 +76,7 @@
                 load.on_read_back(back->chunk, is_right, now);
             } else if (auto const* order = std::get_if<OrderLoad>(&action)) {
                 for (auto const& at : right)
-                    RC_ASSERT(at && now - *at <= settings.read_back_holds);
+                    RC_ASSERT(at && now - *at <= settings.read_back_validity);
                 bool const is_taken = engine.take(2, order->expected_sequence.value());
                 bool const is_answered = *rc::gen::inRange(0, 4) != 0;
                 load.on_ordered(!is_answered ? Platform::OrderOutcome::Unknown : is_taken ? Platform::OrderOutcome::Taken
@@ -95,8 +95,8 @@
                 load.on_staged(stage->chunk, true);
             else if (auto const* back = std::get_if<ReadBackChunk>(&action))
                 load.on_read_back(back->chunk, true, now);
-            else if (auto const* due = std::get_if<OrderLoad>(&action))
-                order = *due;
+            else if (auto const* due_order = std::get_if<OrderLoad>(&action))
+                order = *due_order;
         }
     }
 }
@@ -104,7 +104,7 @@
 TEST(StagedLoad, NothingIsOrderedWhileChunksAreMissing)
 {
     StagedLoad load(2, 3, {});
-    // An empty engine: one that serves is drained first.
+    // The engine is empty; an engine that serves a version would be drained first.
     load.on_report(report(0, false, 0), layers, Core::Time(0));
     load.on_held(0);
     load.on_held(2);
@@ -132,7 +132,7 @@
     EXPECT_EQ(order->expected_sequence, 0);
 }
 
-TEST(StagedLoad, AnOrderWithoutAnAnswerIsNotRepeatedUntilTheReportHasHadTimeToTell)
+TEST(StagedLoad, AnOrderWithoutAnAnswerIsNotRepeatedBeforeItsResultTimeout)
 {
     StagedLoadSettings const settings;
     StagedLoad load(2, 1, settings);
@@ -146,12 +146,12 @@
     load.on_report(report(0, false, 0), layers, Core::Time(100));
     finish_calls(load, Core::Time(101), order);
     EXPECT_FALSE(order.has_value());
-    load.on_report(report(0, false, 0), layers, Core::Time(2) + settings.order_patience);
-    finish_calls(load, Core::Time(3) + settings.order_patience, order);
+    load.on_report(report(0, false, 0), layers, Core::Time(2) + settings.order_result_timeout);
+    finish_calls(load, Core::Time(3) + settings.order_result_timeout, order);
     EXPECT_TRUE(order.has_value());
 }
 
-TEST(StagedLoad, TheWaitForTheAnswerOfALostOrderIsPartOfTheWaitForItsReport)
+TEST(StagedLoad, TheWaitForALostAnswerCountsTowardsTheOrdersResultTimeout)
 {
     StagedLoadSettings const settings;
     StagedLoad load(2, 1, settings);
@@ -160,11 +160,11 @@
     std::optional<OrderLoad> order;
     finish_calls(load, Core::Time(1), order);
     ASSERT_TRUE(order.has_value());
-    // The order's connection fell silent, and the call was given up a while later.
+    // Nothing was received on the order's connection, and the call timed out.
     load.on_ordered(Platform::OrderOutcome::Unknown, Core::Time(1001));
     order.reset();
-    load.on_report(report(0, false, 0), layers, Core::Time(1) + settings.order_patience);
-    finish_calls(load, Core::Time(2) + settings.order_patience, order);
+    load.on_report(report(0, false, 0), layers, Core::Time(1) + settings.order_result_timeout);
+    finish_calls(load, Core::Time(2) + settings.order_result_timeout, order);
     ASSERT_TRUE(order.has_value());
     EXPECT_EQ(order->expected_sequence, 0);
 }
@@ -177,13 +177,13 @@
     return version;
 }
 
-TEST(TransferDistance, WhatIsHeldNearByIsNeverReadFromFarAway)
+TEST(TransferDistance, ChunksHeldInTheRegionAreNeverReadFromAnotherRegion)
 {
     TransferSettings settings;
-    settings.origin_patience = Core::Duration(1000000);
+    settings.origin_wait = Core::Duration(1000000);
     settings.seeders = 1;
     Transfer transfer(spec_of(8), "self", { "near", "far", "self" }, {}, settings, 1, Core::Time(0));
-    transfer.set_near({ "self", "near" });
+    transfer.set_region_instances({ "self", "near" });
     transfer.on_peer_chunks("far", { 0, 1, 2, 3, 4, 5, 6, 7 });
     transfer.on_peer_chunks("near", { 0, 1, 2, 3 });
     for (int64_t now = 0; now < 200; ++now) {
@@ -197,14 +197,14 @@
     }
 }
 
-TEST(TransferDistance, AChunkThatNobodyNearHoldsComesFromFarAwayInTheEnd)
+TEST(TransferDistance, AChunkHeldOnlyInAnotherRegionIsReadFromThereEventually)
 {
     TransferSettings settings;
-    settings.origin_patience = Core::Duration(1000000);
+    settings.origin_wait = Core::Duration(1000000);
     settings.seeders = 1;
     std::vector<std::string> const near { "self", "n1", "n2", "n3" };
     Transfer transfer(spec_of(4), "self", { "far", "self", "n1", "n2", "n3" }, {}, settings, 1, Core::Time(0));
-    transfer.set_near(near);
+    transfer.set_region_instances(near);
     transfer.on_peer_chunks("far", { 0, 1, 2, 3 });
     for (int64_t now = 0; now < 10000 && !transfer.is_complete(); now += 10) {
         for (auto const& action : transfer.step(Core::Time(now)))
@@ -214,7 +214,7 @@
     EXPECT_TRUE(transfer.is_complete());
 }
 
-TEST(TransferDistance, ASeederKeepsItsLinkForTheOriginsChunks)
+TEST(TransferDistance, ASeederLimitsItsReadsFromPeers)
 {
     TransferSettings settings;
     settings.fetches_in_flight = 6;
@@ -230,32 +230,33 @@
     EXPECT_EQ(from_peers, 2u);
 }
 
-// A bound of seconds runs while the origin is away: what its readers wait after its return is missing at the end.
+// Versions have a deadline of seconds, which does not stop while the origin is unreachable. A long backoff after the origin is
+// reachable again could miss it.
 TEST(TransferDistance, AReaderOfTheOriginAsksItWithinAQuarterOfASecondOfItsReturn)
 {
     Transfer transfer(spec_of(1), "self", { "self" }, {}, {}, 1, Core::Time(0));
-    Core::Time last_ask { 0 };
+    Core::Time last_attempt { 0 };
     for (Core::Time now { 0 }; now < Core::Time(6000); now += Core::Duration(10)) {
         for (auto const& action : transfer.step(now)) {
-            last_ask = now;
+            last_attempt = now;
             transfer.on_failed(std::get<Fetch>(action).id, FetchFailure::Unreachable, now);
         }
-        ASSERT_LE(now - last_ask, Core::Duration(250));
+        ASSERT_LE(now - last_attempt, Core::Duration(250));
     }
 }
 
 TEST(TransferDistance, AnOriginThatWasDownIsAskedAgainWithinTheLongestWait)
 {
-    // Found by scale-1 of both sites: the origin was back for ten seconds before anybody asked it.
+    // Seen in scenario scale-1 of both sites: the origin was reachable again for ten seconds before any instance read from it.
     TransferSettings settings;
-    settings.longest_fault_wait = Core::Duration(1000);
+    settings.max_peer_backoff = Core::Duration(1000);
     Transfer transfer(spec_of(1), "self", { "self" }, {}, settings, 1, Core::Time(0));
-    int64_t last_ask = 0;
+    int64_t last_attempt = 0;
     int64_t longest_gap = 0;
     for (int64_t now = 0; now < 20000; now += 10) {
         for (auto const& action : transfer.step(Core::Time(now))) {
-            longest_gap = std::max(longest_gap, now - last_ask);
-            last_ask = now;
+            longest_gap = std::max(longest_gap, now - last_attempt);
+            last_attempt = now;
             transfer.on_failed(std::get<Fetch>(action).id, FetchFailure::Unreachable, Core::Time(now));
         }
     }
@@ -271,15 +272,15 @@
     busy_engine.running = 9;
     load.on_report(busy_engine, layers, Core::Time(0));
     std::optional<OrderLoad> order;
-    auto run = [&](int64_t now, SwitchTerms terms) {
+    auto run = [&](int64_t now, SwitchPermissions permissions) {
         for (int round = 0; round < 10; ++round) {
-            for (auto const& action : load.step(Core::Time(now), terms)) {
+            for (auto const& action : load.step(Core::Time(now), permissions)) {
                 if (auto const* stage = std::get_if<StageChunk>(&action))
                     load.on_staged(stage->chunk, true);
                 else if (auto const* back = std::get_if<ReadBackChunk>(&action))
                     load.on_read_back(back->chunk, true, Core::Time(now));
-                else if (auto const* due = std::get_if<OrderLoad>(&action))
-                    order = *due;
+                else if (auto const* due_order = std::get_if<OrderLoad>(&action))
+                    order = *due_order;
             }
         }
     };
@@ -288,14 +289,14 @@
     run(20, { .may_switch = true, .may_evict = true });
     EXPECT_TRUE(load.is_switching());
     EXPECT_FALSE(order.has_value());
-    run(20 + settings.drain_patience.count() - 1, { .may_switch = true, .may_evict = true });
+    run(20 + settings.drain_timeout.count() - 1, { .may_switch = true, .may_evict = true });
     EXPECT_FALSE(order.has_value());
-    run(20 + settings.drain_patience.count(), { .may_switch = true, .may_evict = true });
+    run(20 + settings.drain_timeout.count(), { .may_switch = true, .may_evict = true });
     ASSERT_TRUE(order.has_value());
     EXPECT_EQ(order->manner, Platform::LoadManner::EvictRunning);
 }
 
-TEST(StagedLoad, WhatMayNotGoOnElsewhereIsNeverCut)
+TEST(StagedLoad, RequestsAreNotEvictedUnlessAllowed)
 {
     StagedLoad load(2, 1, {});
     load.on_held(0);
@@ -309,15 +310,15 @@
                 load.on_staged(stage->chunk, true);
             else if (auto const* back = std::get_if<ReadBackChunk>(&action))
                 load.on_read_back(back->chunk, true, Core::Time(now));
-            else if (auto const* due = std::get_if<OrderLoad>(&action))
-                order = *due;
+            else if (auto const* due_order = std::get_if<OrderLoad>(&action))
+                order = *due_order;
         }
     }
     ASSERT_TRUE(order.has_value());
     EXPECT_EQ(order->manner, Platform::LoadManner::WaitForRunning);
 }
 
-TEST(StagedLoad, AnEngineThatServesANewerVersionIsNotTurnedBack)
+TEST(StagedLoad, AnEngineThatServesANewerVersionIsNotOrderedBack)
 {
     static constexpr size_t chunks = 2;
     StagedLoad load(2, chunks, {});
@@ -332,27 +333,27 @@
             else if (auto const* read = std::get_if<ReadBackChunk>(&action))
                 load.on_read_back(read->chunk, true, now);
             else
-                FAIL() << "an older version is ordered " << step;
+                FAIL() << "a load of an older version was ordered at step " << step;
         }
     }
 }
 
-static Platform::EngineReport born(int64_t started_at_ms, Platform::EngineReport report)
+static Platform::EngineReport started_at(int64_t started_at_ms, Platform::EngineReport report)
 {
     report.started_at_ms = started_at_ms;
     return report;
 }
 
-TEST(StagedLoad, ARestartIsSeenByItsStartWhereTheSequenceIsNoLower)
+TEST(StagedLoad, ARestartIsDetectedByTheStartTimeIfTheSequenceIsNotLower)
 {
     StagedLoad load(2, 1, {});
     load.on_held(0);
-    load.on_report(born(1000, report(0, false, 0)), layers, Core::Time(0));
+    load.on_report(started_at(1000, report(0, false, 0)), layers, Core::Time(0));
     std::optional<OrderLoad> order;
     finish_calls(load, Core::Time(1), order);
     ASSERT_TRUE(order.has_value());
     load.on_ordered(Platform::OrderOutcome::Unknown, Core::Time(2));
-    load.on_report(born(2000, report(0, false, 0)), layers, Core::Time(100));
+    load.on_report(started_at(2000, report(0, false, 0)), layers, Core::Time(100));
     EXPECT_FALSE(load.is_switching());
     order.reset();
     finish_calls(load, Core::Time(101), order);
@@ -360,16 +361,16 @@
     EXPECT_EQ(order->expected_sequence, 0);
 }
 
-TEST(StagedLoad, ARestartIsSeenPastAReportThatFailed)
+TEST(StagedLoad, ARestartIsDetectedAfterAFailedReport)
 {
     StagedLoad load(2, 1, {});
     load.on_held(0);
-    load.on_report(born(1000, report(0, false, 0)), layers, Core::Time(0));
+    load.on_report(started_at(1000, report(0, false, 0)), layers, Core::Time(0));
     std::optional<OrderLoad> order;
     finish_calls(load, Core::Time(1), order);
     load.on_ordered(Platform::OrderOutcome::Taken, Core::Time(2));
     load.on_unreachable();
-    load.on_report(born(2000, report(0, false, 0)), layers, Core::Time(100));
+    load.on_report(started_at(2000, report(0, false, 0)), layers, Core::Time(100));
     EXPECT_FALSE(load.is_switching());
 }
 
@@ -377,44 +378,44 @@
 {
     StagedLoad load(2, 1, {});
     load.on_held(0);
-    auto serving = born(1000, report(1, false, 0));
+    auto serving = started_at(1000, report(1, false, 0));
     load.on_report(serving, layers, Core::Time(0));
     std::optional<OrderLoad> order;
     finish_calls(load, Core::Time(10), order);
     ASSERT_FALSE(order.has_value());
     EXPECT_TRUE(load.is_switching());
-    // What was staged may have gone with the power.
-    load.on_report(born(2000, report(0, false, 0)), layers, Core::Time(100));
+    // The staged chunks may have been lost in a power failure.
+    load.on_report(started_at(2000, report(0, false, 0)), layers, Core::Time(100));
     EXPECT_FALSE(load.is_switching());
     auto const actions = load.step(Core::Time(101));
     ASSERT_EQ(actions.size(), 1u);
     EXPECT_TRUE(std::holds_alternative<ReadBackChunk>(actions[0]));
 }
 
-TEST(StagedLoad, AChunkReadBackFromThePredecessorIsReadAgain)
+TEST(StagedLoad, AChunkReadBackFromAnEarlierIncarnationIsReadBackAgain)
 {
     StagedLoad load(2, 1, {});
     load.on_held(0);
-    load.on_report(born(1000, report(0, false, 0)), layers, Core::Time(0));
+    load.on_report(started_at(1000, report(0, false, 0)), layers, Core::Time(0));
     ASSERT_TRUE(std::holds_alternative<StageChunk>(load.step(Core::Time(1)).at(0)));
     load.on_staged(0, true);
     ASSERT_TRUE(std::holds_alternative<ReadBackChunk>(load.step(Core::Time(2)).at(0)));
-    load.on_report(born(2000, report(0, false, 0)), layers, Core::Time(3));
+    load.on_report(started_at(2000, report(0, false, 0)), layers, Core::Time(3));
     load.on_read_back(0, true, Core::Time(4));
     auto const actions = load.step(Core::Time(5));
     ASSERT_EQ(actions.size(), 1u);
     EXPECT_TRUE(std::holds_alternative<ReadBackChunk>(actions[0]));
 }
 
-TEST(StagedLoad, ThePredecessorsAnswerToAnOrderHoldsNothingUp)
+TEST(StagedLoad, AnEarlierIncarnationsAnswerToAnOrderDelaysNothing)
 {
     StagedLoad load(2, 1, {});
     load.on_held(0);
-    load.on_report(born(1000, report(0, false, 0)), layers, Core::Time(0));
+    load.on_report(started_at(1000, report(0, false, 0)), layers, Core::Time(0));
     std::optional<OrderLoad> order;
     finish_calls(load, Core::Time(1), order);
     ASSERT_TRUE(order.has_value());
-    load.on_report(born(2000, report(0, false, 0)), layers, Core::Time(100));
+    load.on_report(started_at(2000, report(0, false, 0)), layers, Core::Time(100));
     load.on_ordered(Platform::OrderOutcome::Unknown, Core::Time(1000));
     EXPECT_FALSE(load.is_switching());
     order.reset();
@@ -422,17 +423,17 @@
     EXPECT_TRUE(order.has_value());
 }
 
-TEST(StagedLoad, ALateReportOfThePredecessorIsNone)
+TEST(StagedLoad, ALateReportOfAnEarlierIncarnationIsNotAccepted)
 {
     StagedLoad load(2, 1, {});
     load.on_held(0);
-    load.on_report(born(2000, report(0, false, 0)), layers, Core::Time(0));
-    load.on_report(born(1000, report(2, false, 7)), layers, Core::Time(1));
+    load.on_report(started_at(2000, report(0, false, 0)), layers, Core::Time(0));
+    load.on_report(started_at(1000, report(2, false, 7)), layers, Core::Time(1));
     EXPECT_FALSE(load.is_serving());
     std::optional<OrderLoad> order;
     finish_calls(load, Core::Time(2), order);
     EXPECT_FALSE(order.has_value());
-    // Who goes on telling of an earlier start lives: its clock was set back.
-    load.on_report(born(1000, report(2, false, 7)), layers, Core::Time(100));
+    // An engine that keeps reporting an earlier start is running: its clock was set back.
+    load.on_report(started_at(1000, report(2, false, 7)), layers, Core::Time(100));
     EXPECT_TRUE(load.is_serving());
 }
--- a/Tests/LibDistribution/TestTransfer.cpp
+++ b/Tests/LibDistribution/TestTransfer.cpp
@@ -58,7 +58,7 @@
 TEST(Transfer, AStalledReadGoesElsewhere)
 {
     TransferSettings settings;
-    settings.stall = Core::Duration(1000);
+    settings.stall_timeout = Core::Duration(1000);
     Transfer transfer(version_of(1), "a", { "a", "b", "c" }, {}, settings, 1, Core::Time(0));
     transfer.on_peer_chunks("b", { 0 });
     auto const first = std::get<Fetch>(transfer.step(Core::Time(0)).at(0));
@@ -71,7 +71,7 @@
     EXPECT_EQ(std::get<Fetch>(actions[1]).source.peer, "c");
 }
 
-TEST(Transfer, APeerThatSendsCorruptChunksIsLeftAlone)
+TEST(Transfer, APeerThatSendsCorruptChunksIsBackedOffFrom)
 {
     Transfer transfer(version_of(64), "a", { "a", "b" }, {}, {}, 1, Core::Time(0));
     std::vector<int64_t> all(64);
@@ -88,11 +88,11 @@
             transfer.on_failed(fetch->id, FetchFailure::Corrupt, Core::Time(now));
         }
     }
-    // Each step may have started as many as may be in flight before the verdict on the first came.
+    // Up to the maximum number of reads in flight may have started before the first was found to be corrupt.
     EXPECT_LE(from_peer, 8u);
 }
 
-RC_GTEST_PROP(Transfer, ItCompletesWithinItsLimitsWhateverSourcesDo, (uint64_t seed))
+RC_GTEST_PROP(Transfer, ItCompletesWithinItsLimitsWhenSourcesFail, (uint64_t seed))
 {
     auto const chunks = *rc::gen::inRange<size_t>(1, 40);
     TransferSettings settings;
@@ -102,12 +102,12 @@
     std::mt19937_64 random(seed);
     std::map<uint64_t, Fetch> running;
     std::map<size_t, size_t> reads;
-    auto const troubles_end = Core::Time(20000);
+    auto const failures_end = Core::Time(20000);
     for (Core::Time now { 0 }; now < Core::Time(120000) && !transfer.is_complete(); now += Core::Duration(20)) {
-        bool const is_troubled = now < troubles_end;
-        if (is_troubled && random() % 20 == 0)
+        bool const has_failures = now < failures_end;
+        if (has_failures && random() % 20 == 0)
             transfer.on_peer_chunks(targets[1 + random() % 3], { static_cast<int64_t>(random() % (chunks + 3)) - 1 });
-        if (is_troubled && random() % 100 == 0)
+        if (has_failures && random() % 100 == 0)
             transfer.on_peer_lost(targets[1 + random() % 3]);
         for (auto const& action : transfer.step(now)) {
             if (auto const* cancel = std::get_if<CancelFetch>(&action)) {
@@ -122,16 +122,16 @@
         reads.clear();
         for (auto const& [id, fetch] : running)
             RC_ASSERT(++reads[fetch.chunk] <= 2u);
-        // Every source may finish, fail in any way, or say nothing at all.
+        // Each read may complete, fail in any way, or receive nothing.
         std::vector<uint64_t> ids;
         ids.reserve(running.size());
         for (auto const& [id, fetch] : running)
             ids.push_back(id);
         for (auto id : ids) {
-            auto const luck = random() % 100;
-            if (luck < 20 || !is_troubled) {
+            auto const chance = random() % 100;
+            if (chance < 20 || !has_failures) {
                 transfer.on_fetched(id, now);
-            } else if (luck < 40) {
+            } else if (chance < 40) {
                 static constexpr FetchFailure failures[] = { FetchFailure::Busy, FetchFailure::Corrupt, FetchFailure::Missing, FetchFailure::Unreachable };
                 transfer.on_failed(id, failures[random() % 4], now);
             } else {
@@ -145,21 +145,22 @@
 
 namespace {
 
-/// Fakes around many transfers: a link passes one chunk per slot each way, the origin twice as many. Virtual time.
+/// Simulates many instances with one Transfer each, in virtual time. In each time slot, an instance's link passes one chunk in each
+/// direction, and the origin's link two.
 struct Swarm {
     static constexpr Core::Duration slot { 100 };
     size_t chunks;
     std::vector<std::string> ids;
     std::vector<std::unique_ptr<Transfer>> transfers;
     std::vector<std::vector<std::string>> neighbours;
-    std::vector<bool> is_dead;
+    std::vector<bool> is_lost;
     size_t origin_reads { 0 };
     Core::Time now { 0 };
     std::vector<std::map<uint64_t, Fetch>> running;
 
     Swarm(size_t count, size_t chunk_count, size_t neighbour_count)
         : chunks(chunk_count)
-        , is_dead(count, false)
+        , is_lost(count, false)
         , running(count)
     {
         std::vector<NeighbourCandidate> candidates;
@@ -170,7 +171,7 @@
         neighbours.resize(count);
         for (size_t i = 0; i < count; ++i) {
             TransferSettings settings;
-            settings.origin_patience = slot * 20;
+            settings.origin_wait = slot * 20;
             transfers.push_back(std::make_unique<Transfer>(version_of(chunks), ids[i], ids, std::vector<int64_t>(), settings, i, now));
             for (auto const& id : choose_neighbours(candidates[i], candidates, neighbour_count / 2, 0)) {
                 auto const other = static_cast<size_t>(std::find(ids.begin(), ids.end(), id) - ids.begin());
@@ -202,19 +203,20 @@
         }
     }
 
-    /// One chunk in for each instance, one out for each peer, two out for the origin; the rest are refused as busy.
+    /// Simulates one time slot: each instance receives one chunk, each peer sends one, and the origin sends two. All other reads are
+    /// refused as busy.
     void run_slot()
     {
         now += slot;
         std::map<std::string, size_t> sent;
         for (size_t i = 0; i < ids.size(); ++i) {
-            if (is_dead[i])
+            if (is_lost[i])
                 continue;
             begin_reads(i);
             bool has_received = false;
             for (auto const& [id, fetch] : std::map(running[i])) {
-                bool const is_silent = !fetch.source.is_origin() && is_dead[index_of(fetch.source.peer)];
-                if (is_silent || has_received)
+                bool const has_no_sender = !fetch.source.is_origin() && is_lost[index_of(fetch.source.peer)];
+                if (has_no_sender || has_received)
                     continue;
                 size_t const slots = fetch.source.is_origin() ? 2 : 1;
                 if (sent[fetch.source.peer] < slots) {
@@ -235,7 +237,7 @@
             run_slot();
             bool is_done = true;
             for (size_t i = 0; i < ids.size(); ++i)
-                is_done = is_done && (is_dead[i] || transfers[i]->is_complete());
+                is_done = is_done && (is_lost[i] || transfers[i]->is_complete());
             if (is_done)
                 return slots;
         }
@@ -245,7 +247,7 @@
 
 }
 
-TEST(Swarm, AHealthySpreadReadsOneCopyFromTheOrigin)
+TEST(Swarm, ATransferWithoutFailuresReadsOneCopyFromTheOrigin)
 {
     Swarm swarm(24, 48, 16);
     auto const slots = swarm.slots_until_complete();
@@ -253,12 +255,12 @@
     EXPECT_LT(slots, 2 * swarm.chunks);
 }
 
-TEST(Swarm, TheSurvivorsOfDeathsInTheMiddleComplete)
+TEST(Swarm, TheRemainingInstancesCompleteAfterLosses)
 {
     Swarm swarm(20, 40, 16);
     for (int i = 0; i < 15; ++i)
         swarm.run_slot();
-    swarm.is_dead[3] = swarm.is_dead[11] = true;
+    swarm.is_lost[3] = swarm.is_lost[11] = true;
     for (auto const lost : { 3, 11 }) {
         for (auto const& transfer : swarm.transfers)
             transfer->on_peer_lost("i" + std::to_string(lost));
@@ -295,12 +297,12 @@
         for (auto const& fetch : fetches)
             read.insert(fetch.chunk);
     }
-    // Between them the caches read each chunk once.
+    // The caches together read each chunk once.
     EXPECT_EQ(read.size(), chunks);
     EXPECT_EQ(std::set<size_t>(read.begin(), read.end()).size(), chunks);
 }
 
-// The origin's link is filled until the last chunk only if no reader has more left than the others.
+// The origin's link is fully used until the last chunk only if no reader has more chunks left to read than the others.
 TEST(Transfer, ReadersOfTheOriginHaveAsManyChunksEach)
 {
     size_t const chunks = 64;
@@ -325,50 +327,50 @@
     EXPECT_EQ(read.size(), chunks);
 }
 
-TEST(Transfer, WithoutTheCachesTheEnginesTurnToTheOriginAfterAWhile)
+TEST(Transfer, EnginesReadFromTheOriginAfterAWaitIfTheCachesAreLost)
 {
     TransferSettings settings;
     settings.fetches_in_flight = 4;
-    settings.origin_patience = Core::Duration(400);
+    settings.origin_wait = Core::Duration(400);
     Transfer transfer(version_of(4), "e1", { "e1", "e2" }, {}, settings, 1, Core::Time(0));
     transfer.set_caches({ "c1", "c2" });
     EXPECT_TRUE(fetches_of(transfer.step(Core::Time(0))).empty());
     EXPECT_FALSE(fetches_of(transfer.step(Core::Time(2000))).empty());
 }
 
-// Whoever was to read a chunk from the origin may be gone, and so may any number of those after it. The time until somebody
-// else reads it must not grow with the fleet.
-TEST(Transfer, SomebodyAsksTheOriginSoonHoweverManyReadersAreLost)
+// The seeder of a chunk and any number of the readers ranked after it may be lost. The time until another instance reads the chunk
+// must grow only with the logarithm of the fleet's size.
+TEST(Transfer, TheOriginIsReadSoonHoweverManyReadersAreLost)
 {
     TransferSettings settings;
-    settings.origin_patience = Core::Duration(400);
+    settings.origin_wait = Core::Duration(400);
     for (size_t const instances : { 15, 400 }) {
         std::vector<std::string> caches;
         for (size_t i = 0; i < instances; ++i)
             caches.push_back("c" + std::to_string(i));
         for (size_t const lost : { size_t { 0 }, size_t { 1 }, size_t { 4 }, instances / 2, instances - 1 }) {
             auto const ranked = Core::rendezvous_order(version_of(1).digest, caches);
-            Core::Time first_asked { 1'000'000 };
-            size_t asked_at_once = 0;
+            Core::Time first_read_at { 1'000'000 };
+            size_t readers_at_once = 0;
             for (size_t i = lost; i < instances; ++i) {
                 Transfer transfer(version_of(1), ranked[i], {}, {}, settings, 1, Core::Time(0));
                 transfer.set_caches(caches);
-                for (Core::Time now { 0 }; now <= first_asked; now += Core::Duration(50)) {
+                for (Core::Time now { 0 }; now <= first_read_at; now += Core::Duration(50)) {
                     if (fetches_of(transfer.step(now)).empty())
                         continue;
-                    asked_at_once = now < first_asked ? 1 : asked_at_once + 1;
-                    first_asked = now;
+                    readers_at_once = now < first_read_at ? 1 : readers_at_once + 1;
+                    first_read_at = now;
                     break;
                 }
             }
-            // Nine doublings of the rank in 400, and one more for those that are no seeders.
-            EXPECT_LE(first_asked, Core::Time(10 * 400)) << instances << " instances, " << lost << " lost";
-            EXPECT_GE(asked_at_once, 1u);
+            // The rank doubles nine times up to 400, and once more for instances that are not seeders.
+            EXPECT_LE(first_read_at, Core::Time(10 * 400)) << instances << " instances, " << lost << " lost";
+            EXPECT_GE(readers_at_once, 1u);
         }
     }
 }
 
-// The same with a fleet at work: readers are lost one after another, at any chunk, and what is read twice stays little.
+// The same in a simulated fleet: readers are lost one after another, at any time of the transfer, and few chunks are read twice.
 TEST(Swarm, ReadersThatAreLostOneAfterAnotherAreReplaced)
 {
     for (size_t const loss_begins : { 1, 10, 25, 38 }) {
@@ -379,27 +381,28 @@
             swarm.run_slot();
         auto const ranked = Core::rendezvous_order(version_of(40).digest, swarm.ids);
         for (size_t lost = 0; lost < 8; ++lost) {
-            swarm.is_dead[swarm.index_of(ranked[lost])] = true;
+            swarm.is_lost[swarm.index_of(ranked[lost])] = true;
             for (auto const& transfer : swarm.transfers)
                 transfer->on_peer_lost(ranked[lost]);
             swarm.run_slot();
         }
         EXPECT_LT(swarm.slots_until_complete(), 4 * swarm.chunks) << loss_begins;
-        // The bound on what the origin sends, and what the lost ones took with them.
+        // The origin may send 1.2 copies, and the chunks that were lost with the eight readers.
         EXPECT_LE(swarm.origin_reads, swarm.chunks * 12 / 10 + 8) << loss_begins;
     }
 }
 
-// All have waited long when an origin that was away is back. Those that read it for the others must be the ones to find it.
-TEST(Transfer, NotAllAskAnOriginThatIsBackAtOnce)
+// After an outage of the origin all instances have waited for long. When it is reachable again, the first in rank must read from it first,
+// or all would read at once.
+TEST(Transfer, AReturningOriginIsNotReadByAllAtOnce)
 {
     TransferSettings settings;
-    settings.origin_patience = Core::Duration(400);
-    settings.longest_fault_wait = Core::Duration(1000);
+    settings.origin_wait = Core::Duration(400);
+    settings.max_peer_backoff = Core::Duration(1000);
     std::vector<std::string> caches;
     for (size_t i = 0; i < 70; ++i)
         caches.push_back("c" + std::to_string(i));
-    std::set<std::string> asked_last;
+    std::set<std::string> late_readers;
     for (auto const& self : caches) {
         Transfer transfer(version_of(64), self, {}, {}, settings, 1, Core::Time(0));
         transfer.set_caches(caches);
@@ -407,43 +410,43 @@
             for (auto const& fetch : fetches_of(transfer.step(now))) {
                 transfer.on_failed(fetch.id, FetchFailure::Unreachable, now);
                 if (now >= Core::Time(5000))
-                    asked_last.insert(self);
+                    late_readers.insert(self);
             }
         }
     }
-    // The seeders each second, and a few others.
-    EXPECT_GE(asked_last.size(), settings.seeders);
-    EXPECT_LE(asked_last.size(), 35u);
+    // All seeders retry, and some of the other instances.
+    EXPECT_GE(late_readers.size(), settings.seeders);
+    EXPECT_LE(late_readers.size(), 35u);
 }
 
-// The origin is away for six seconds, and those that are to read it are there: the others must not read the same chunks beside them
-// when it is back.
-TEST(Transfer, ThoseThatStandInAskSeldomWhileTheOriginFailsThemToo)
+// The origin is unreachable for six seconds while the seeders are present. Backup readers must seldom retry, or they would read the same
+// chunks as the seeders when the origin is reachable again.
+TEST(Transfer, BackupReadersSeldomRetryAFailingOrigin)
 {
     TransferSettings settings;
-    settings.origin_patience = Core::Duration(400);
+    settings.origin_wait = Core::Duration(400);
     std::vector<std::string> const caches { "c0", "c1", "c2", "c3", "c4", "c5", "c6", "c7", "c8", "c9", "c10", "c11", "c12" };
-    // A reader asks each quarter of a second.
-    constexpr size_t asks_of_a_reader = 16;
+    // A seeder retries every 250 ms, during the last four seconds.
+    constexpr size_t attempts_of_a_reader = 16;
     size_t readers = 0;
     for (auto const& self : caches) {
         Transfer transfer(version_of(64), self, {}, {}, settings, 1, Core::Time(0));
         transfer.set_caches(caches);
-        size_t asks = 0;
+        size_t attempts = 0;
         for (Core::Time now { 0 }; now < Core::Time(6000); now += Core::Duration(50)) {
             for (auto const& fetch : fetches_of(transfer.step(now))) {
                 transfer.on_failed(fetch.id, FetchFailure::Unreachable, now);
-                asks += now >= Core::Time(2000) ? 1 : 0;
+                attempts += now >= Core::Time(2000) ? 1 : 0;
             }
         }
-        bool const is_reader = asks >= asks_of_a_reader;
+        bool const is_reader = attempts >= attempts_of_a_reader;
         readers += is_reader ? 1 : 0;
-        EXPECT_TRUE(is_reader || asks <= 1) << self << " asked " << asks << " times";
+        EXPECT_TRUE(is_reader || attempts <= 1) << self << " tried to read from the origin " << attempts << " times";
     }
     EXPECT_EQ(readers, settings.seeders);
 }
 
-TEST(Transfer, ACacheIsAskedBeforeOtherPeers)
+TEST(Transfer, ACacheIsPreferredToOtherPeers)
 {
     TransferSettings settings;
     settings.fetches_in_flight = 8;
@@ -458,13 +461,13 @@
         EXPECT_EQ(fetch.source.peer, "c1");
 }
 
-TEST(Transfer, OneCacheOfARegionBringsAChunkFromFarAway)
+TEST(Transfer, OneCacheOfARegionReadsAChunkFromAnotherRegion)
 {
     size_t readers = 0;
     for (auto const& self : { "c1", "c2", "e1", "e2" }) {
         Transfer transfer(version_of(1), self, { "e1", "e2" }, {}, {}, 1, Core::Time(0));
         transfer.set_caches({ "c1", "c2", "far" });
-        transfer.set_near({ "c1", "c2", "e1", "e2" });
+        transfer.set_region_instances({ "c1", "c2", "e1", "e2" });
         transfer.on_peer_chunks("far", { 0 });
         bool const has_read = !fetches_of(transfer.step(Core::Time(0))).empty();
         readers += has_read ? 1 : 0;
@@ -473,7 +476,7 @@
     EXPECT_EQ(readers, 1u);
 }
 
-TEST(Transfer, ANarrowLinkIsFilledByOneReadAtATime)
+TEST(Transfer, ChunksAreReadOneAtATimeOverASlowLink)
 {
     TransferSettings settings;
     settings.fetches_in_flight = 3;
@@ -489,7 +492,7 @@
     EXPECT_EQ(fetches_of(transfer.step(Core::Time(900))).size(), 1u);
 }
 
-TEST(Transfer, TheWaitAtABusySourceIsNoNarrowLink)
+TEST(Transfer, WaitingForABusySourceDoesNotCountAsASlowLink)
 {
     TransferSettings settings;
     settings.fetches_in_flight = 3;
@@ -504,7 +507,7 @@
     EXPECT_EQ(fetches_of(transfer.step(Core::Time(900))).size(), 3u);
 }
 
-TEST(Transfer, ReadsThatShareAWideLinkAreNotTakenForANarrowOne)
+TEST(Transfer, ConcurrentReadsOverAFastLinkDoNotCountAsASlowLink)
 {
     TransferSettings settings;
     settings.fetches_in_flight = 6;
@@ -515,12 +518,12 @@
     ASSERT_EQ(first.size(), 6u);
     for (auto const& fetch : first)
         transfer.on_progress(fetch.id, Core::Time(10));
-    // Six chunks of 35 ms each, one beside the other.
+    // Six chunks of 35 ms each are read concurrently.
     transfer.on_fetched(first[0].id, Core::Time(220));
     EXPECT_FALSE(fetches_of(transfer.step(Core::Time(220))).empty());
 }
 
-TEST(Transfer, CachesThatHoldNothingLeaveTheReadsFromPeersAsTheyAre)
+TEST(Transfer, CachesThatHoldNothingDoNotLimitTheReadsFromPeers)
 {
     TransferSettings settings;
     settings.fetches_in_flight = 6;
@@ -533,10 +536,10 @@
     EXPECT_TRUE(fetches_of(transfer.step(Core::Time(10))).empty());
 }
 
-TEST(Transfer, AReadIsNotDoubledJustBecauseTheOthersWereQuick)
+TEST(Transfer, AReadIsNotDuplicatedOnlyBecauseOthersWereFast)
 {
     TransferSettings settings;
-    settings.stall = Core::Duration(2000);
+    settings.stall_timeout = Core::Duration(2000);
     Transfer transfer(version_of(4), "e1", { "e1", "e2", "e3" }, {}, settings, 1, Core::Time(0));
     for (auto const* peer : { "e2", "e3" })
         transfer.on_peer_chunks(peer, { 0, 1, 2, 3 });
@@ -544,12 +547,12 @@
     ASSERT_EQ(first.size(), 4u);
     for (size_t i = 0; i < 3; ++i)
         transfer.on_fetched(first[i].id, Core::Time(2));
-    // A busy machine holds a read up for tens of milliseconds.
+    // A busy machine delays a read by tens of milliseconds.
     EXPECT_TRUE(fetches_of(transfer.step(Core::Time(200))).empty());
-    auto const doubled = fetches_of(transfer.step(Core::Time(500)));
-    ASSERT_EQ(doubled.size(), 1u);
-    EXPECT_EQ(doubled[0].chunk, first[3].chunk);
-    EXPECT_NE(doubled[0].source.peer, first[3].source.peer);
+    auto const duplicates = fetches_of(transfer.step(Core::Time(500)));
+    ASSERT_EQ(duplicates.size(), 1u);
+    EXPECT_EQ(duplicates[0].chunk, first[3].chunk);
+    EXPECT_NE(duplicates[0].source.peer, first[3].source.peer);
 }
 
 TEST(Transfer, OnlyASmallPartOfAVersionIsReadTwice)
@@ -557,7 +560,7 @@
     size_t const chunks = 64;
     TransferSettings settings;
     settings.fetches_in_flight = 2 * chunks;
-    settings.stall = Core::Duration(2000);
+    settings.stall_timeout = Core::Duration(2000);
     Transfer transfer(version_of(chunks + 1), "e1", { "e1", "e2", "e3" }, {}, settings, 1, Core::Time(0));
     std::vector<int64_t> all;
     for (size_t i = 0; i <= chunks; ++i)
@@ -567,12 +570,12 @@
     auto const first = fetches_of(transfer.step(Core::Time(0)));
     ASSERT_EQ(first.size(), chunks + 1);
     transfer.on_fetched(first[0].id, Core::Time(2));
-    size_t doubled = 0;
+    size_t duplicates = 0;
     for (int64_t now = 100; now < 1900; now += 100) {
         for (auto const& fetch : first)
             transfer.on_progress(fetch.id, Core::Time(now));
-        doubled += fetches_of(transfer.step(Core::Time(now))).size();
+        duplicates += fetches_of(transfer.step(Core::Time(now))).size();
     }
-    EXPECT_GE(doubled, 1u);
-    EXPECT_LE(doubled, 1 + chunks / 16);
+    EXPECT_GE(duplicates, 1u);
+    EXPECT_LE(duplicates, 1 + chunks / 16);
 }
--- a/Tests/Weights/TestCopyFetcher.cpp
+++ b/Tests/Weights/TestCopyFetcher.cpp
@@ -26,17 +26,17 @@
     {
         return {
             .announce = [this](Schema::PieceMap const& map) { m_announced[map.version].insert(map.chunks.begin(), map.chunks.end()); },
-            .announce_far = [this](Schema::PieceMap const& map) { m_announced_far[map.version].insert(map.chunks.begin(), map.chunks.end()); },
-            .manifest_taken = [this] { m_fetcher.begin(); },
+            .announce_to_other_regions = [this](Schema::PieceMap const& map) { m_announced_to_other_regions[map.version].insert(map.chunks.begin(), map.chunks.end()); },
+            .manifest_accepted = [this] { m_fetcher.begin(); },
             .chunk_held = [](size_t) {},
             .is_seeking = [](int64_t) { return true; },
             .is_lacked = [this](int64_t version) { return version == m_lacked; },
             .also_used = [] { return nullptr; },
-            .sources = [this] { return CopySources { .targets = { "a" }, .near = {}, .caches = m_caches }; },
+            .sources = [this] { return CopySources { .targets = { "a" }, .same_region = {}, .caches = m_caches }; },
         };
     }
 
-    void turn_to(int64_t version)
+    void switch_to(int64_t version)
     {
         Schema::WeightsGoal goal {};
         goal.model = "m";
@@ -66,7 +66,7 @@
     Core::Metrics m_metrics;
     HeldBackOrigin m_origin;
     std::map<int64_t, std::set<int64_t>> m_announced;
-    std::map<int64_t, std::set<int64_t>> m_announced_far;
+    std::map<int64_t, std::set<int64_t>> m_announced_to_other_regions;
     int64_t m_lacked { 0 };
     std::vector<std::string> m_caches;
     CopyFetcher m_fetcher;
@@ -74,29 +74,29 @@
 
 }
 
-TEST_F(CopyFetcherTest, FarAwayPeersAreToldAtOnceOfWhatCameFromTheOrigin)
+TEST_F(CopyFetcherTest, ChunksFromTheOriginAreAnnouncedToOtherRegionsAtOnce)
 {
-    turn_to(1);
+    switch_to(1);
     fetch_all();
     m_fetcher.turn(Core::monotonic_now());
-    EXPECT_EQ(m_announced_far[1], (std::set<int64_t> { 0, 1, 2 }));
+    EXPECT_EQ(m_announced_to_other_regions[1], (std::set<int64_t> { 0, 1, 2 }));
 }
 
-// The origin would go on sending to nobody.
-TEST_F(CopyFetcherTest, ReadsOfTheOriginEndWithTheVersionThatTheyWereFor)
+// If reads are not cancelled, the origin keeps sending chunks that no instance needs.
+TEST_F(CopyFetcherTest, ReadsFromTheOriginAreCancelledWhenTheVersionChanges)
 {
-    turn_to(1);
+    switch_to(1);
     m_fetcher.turn(Core::monotonic_now());
     m_origin.deliver_one();
     ASSERT_TRUE(m_fetcher.has_manifest());
     auto const reads = m_origin.waiting();
     EXPECT_GE(reads, 1u);
     EXPECT_TRUE(m_origin.cancelled().empty());
-    turn_to(2);
+    switch_to(2);
     EXPECT_EQ(m_origin.cancelled().size(), reads);
 }
 
-// Every entry that asks the origin itself holds up the first chunks: 70 manifests take a fifth of the time of a copy.
+// Each entry that reads the manifest from the origin delays the first chunks: 70 manifests take a fifth of the time of a copy.
 TEST_F(CopyFetcherTest, AFewCachesReadTheManifestFromTheOrigin)
 {
     for (size_t i = 0; i < 40; ++i)
@@ -116,69 +116,69 @@
         fetcher.set_goal(goal, now);
         fetcher.turn(now);
         readers += origin.waiting();
-        // Where those few are lost, the others ask as well.
+        // The other caches also read from the origin later, in case those few are lost.
         fetcher.turn(now + Core::Duration(2000));
         EXPECT_GE(origin.waiting(), 1u) << identity;
     }
     EXPECT_EQ(readers, settings().transfer.seeders);
 }
 
-TEST_F(CopyFetcherTest, WhatCameLastIsAnnouncedBeforeTheNextVersionBegins)
+TEST_F(CopyFetcherTest, TheLastChunksAreAnnouncedBeforeTheNextVersionBegins)
 {
-    turn_to(1);
+    switch_to(1);
     fetch_all();
-    turn_to(2);
+    switch_to(2);
     EXPECT_EQ(m_announced[1], (std::set<int64_t> { 0, 1, 2 }));
 }
 
-TEST_F(CopyFetcherTest, AWholeOlderVersionIsKeptAndToldOfWhileSomebodyLacksIt)
+TEST_F(CopyFetcherTest, ACompleteOlderVersionIsKeptAndAnnouncedWhileAnInstanceLacksIt)
 {
     m_lacked = 1;
-    turn_to(1);
+    switch_to(1);
     fetch_all();
-    turn_to(2);
+    switch_to(2);
     fetch_manifest();
     auto const maps = m_fetcher.held();
     ASSERT_EQ(maps.size(), 2u);
     EXPECT_EQ(maps[0].version, 1);
     EXPECT_EQ(maps[0].chunks, (std::vector<int64_t> { 0, 1, 2 }));
     EXPECT_EQ(maps[1].version, 2);
-    // Nobody needs it any more.
+    // No instance lacks version 1 any more.
     m_lacked = 0;
     m_fetcher.turn(Core::monotonic_now());
     EXPECT_EQ(m_fetcher.held().size(), 1u);
     EXPECT_FALSE(holds(1, 1));
-    EXPECT_TRUE(holds(1, 0)) << "the newer version has this chunk too";
+    EXPECT_TRUE(holds(1, 0)) << "the newer version has this chunk as well";
 }
 
-TEST_F(CopyFetcherTest, AVersionGivenUpHalfwayDoesNotReplaceAWholeOlderOne)
+TEST_F(CopyFetcherTest, AnIncompleteVersionDoesNotReplaceACompleteOlderOne)
 {
     m_lacked = 1;
-    turn_to(1);
+    switch_to(1);
     fetch_all();
-    turn_to(2);
+    switch_to(2);
     m_fetcher.turn(Core::monotonic_now());
-    turn_to(3);
+    switch_to(3);
     fetch_manifest();
     EXPECT_TRUE(holds(1, 1));
     EXPECT_TRUE(holds(1, 2));
 }
 
-TEST_F(CopyFetcherTest, AVersionIsUnderWayOnceAPeerHasToldOfIt)
+TEST_F(CopyFetcherTest, AVersionCanBeFetchedOnceAPeerHasAnnouncedIt)
 {
-    turn_to(2);
-    EXPECT_FALSE(m_fetcher.is_under_way());
+    switch_to(2);
+    EXPECT_FALSE(m_fetcher.can_be_fetched());
     Schema::PieceMap map {};
     map.model = "m";
     map.version = 3;
     m_fetcher.on_peer_pieces("b", map);
-    EXPECT_FALSE(m_fetcher.is_under_way());
+    EXPECT_FALSE(m_fetcher.can_be_fetched());
     map.version = 2;
     m_fetcher.on_peer_pieces("b", map);
-    EXPECT_TRUE(m_fetcher.is_under_way());
+    EXPECT_TRUE(m_fetcher.can_be_fetched());
 }
 
-TEST(PeerChunks, APeersWordOnANewerVersionLeavesItsWordOnTheOlderOne)
+TEST(PeerChunks, AnAnnouncementOfANewerVersionKeepsThatOfTheOlderOne)
 {
     PeerChunks peers;
     auto const map = [](int64_t version, std::vector<int64_t> chunks) {
