--- a/Libraries/LibConfiguration/FactReplica.cpp
+++ b/Libraries/LibConfiguration/FactReplica.cpp
@@ -18,7 +18,7 @@
     return Schema::to_value(a) == Schema::to_value(b);
 }
 
-/// A state that could not be read counts as leaving, for as long as the record stands.
+/// Returns true if the server counts as draining only because a part of its record could not be parsed.
 static bool is_unread(Schema::BackendServer const& server)
 {
     return server.is_draining && !server.unreadable_fields.empty();
@@ -64,7 +64,7 @@
 bool FactReplica::take_value(Fact const& fact, ReadTime const& read, FactChanges& changes)
 {
     if (auto const* configuration = std::get_if<std::shared_ptr<Schema::RoutingConfiguration const>>(&fact.value)) {
-        // A record with a lower version than the one in force is never a step forward.
+        // A record with a lower version than the one in force is the result of a delayed write.
         if (m_configuration && (*configuration)->version < m_configuration->version && is_newest_record(fact)) {
             changes.older_records.push_back(fact.key);
             m_log_has_older_configuration = true;
@@ -77,7 +77,7 @@
         return true;
     }
     if (auto const* named = std::get_if<Schema::ModelVersion>(&fact.value)) {
-        // A record that names a version once more says nothing of when it was named first.
+        // A record that names a known version again does not show when the version was first named.
         bool const is_known = m_versions[named->model].find(named->version);
         auto const named_after = is_known ? std::nullopt : read.written_after;
         take_version(named->model, { named->version, read.earliest(), named_after, read.now }, changes);
@@ -88,12 +88,12 @@
     return true;
 }
 
-/// A record that cannot be read may have said that the server is leaving, so no new work goes there; what runs there goes on,
-/// as the rest of what was known still holds. A heartbeat of the server itself brings it back.
+/// An unreadable record may have announced that the server is draining, so the server gets no new requests. Its requests in flight go on,
+/// because the rest of its last readable record still holds. The server's next readable heartbeat ends this state.
 void FactReplica::take_unreadable(Fact const& fact, FactChanges& changes)
 {
     auto const known = m_facts.find({ fact.kind, fact.key });
-    // Nothing is kept under a key that nobody knew: other writers' keys may be many.
+    // Unknown keys are not stored: foreign writers may write to many keys.
     if (known == m_facts.end() || known->second.revision >= fact.revision)
         return;
     known->second.revision = fact.revision;
@@ -101,7 +101,7 @@
     if (!server || server->is_draining)
         return;
     server->is_draining = true;
-    // That it is leaving is presumed, and not said: its own next word counts.
+    // Draining is assumed and was not announced by the server, so its next readable record decides.
     server->unreadable_fields.push_back("record");
     changes.servers.push_back(fact.key);
 }
@@ -118,11 +118,11 @@
     }
     auto const key = Key(fact.kind, fact.key);
     auto const known = m_facts.find(key);
-    // Of configurations the version decides: the log's newest record may be an older one that was written late.
+    // Configurations are compared by version, not by offset: a delayed write can make an older one the log's newest record.
     bool const is_configuration = fact.kind == Schema::FactKind::Configuration;
     if (known != m_facts.end() && known->second.revision >= fact.revision && !is_configuration)
         return;
-    // The configuration and named versions are never taken back.
+    // The configuration and named versions are never removed.
     if (std::holds_alternative<Removed>(fact.value))
         return;
     if (take_value(fact, read, changes))
@@ -133,7 +133,7 @@
 {
     if (auto const* named = std::get_if<Schema::ModelVersion>(&fact.value)) {
         auto const newest_before = m_versions[named->model].newest();
-        // Nobody can tell when it was named, only that it was.
+        // The time at which it was named is unknown.
         take_version(named->model, { named->version, read.earliest(), std::nullopt, read.now }, changes);
         if (newest_before > 0 && named->version > newest_before)
             changes.older_records.push_back(fact.key);
@@ -148,25 +148,25 @@
     changes.older_records.push_back(fact.key);
 }
 
-/// Whether a record is to be taken that was read behind the one that is held, or before it.
+/// How a record compares with the one held under the same key.
 enum class RecordOrder {
-    /// It says something newer, wherever it stands.
+    /// The record is newer, whatever its offset.
     Newer,
-    /// It was written late, or told by one that is behind.
+    /// The record is older: its write was delayed, or it comes from a peer that has read less of the log.
     Older,
-    /// The place in the log decides.
+    /// The offsets of the two records decide.
     AsLogged,
 };
 
 static RecordOrder order_of(Schema::BackendServer const& held, Schema::BackendServer const& told)
 {
-    // Without a start on both sides no more is known of incarnations than the order in which they were logged.
+    // Without both start times only the order in the log can tell incarnations apart.
     if (!held.started_at_ms || !told.started_at_ms)
         return RecordOrder::AsLogged;
     if (*held.started_at_ms != *told.started_at_ms)
         return *held.started_at_ms < *told.started_at_ms ? RecordOrder::Newer : RecordOrder::Older;
-    // An incarnation that says that it is leaving ends. One that takes requests again is told by a new start, or by a
-    // removal of its record; without either, what says that it is ready was written before.
+    // Within one incarnation draining is final: a server becomes ready again only by a new start or after a removal of its record.
+    // A record of the same incarnation that says that it is ready was therefore written before the draining one.
     if (held.is_draining != told.is_draining && !is_unread(held) && !is_unread(told))
         return told.is_draining ? RecordOrder::Newer : RecordOrder::Older;
     return RecordOrder::AsLogged;
@@ -186,7 +186,7 @@
     if (order == RecordOrder::AsLogged && is_behind)
         return;
     if (order == RecordOrder::Older) {
-        // Peers that have read as far may lack what is held, so it counts as told by the later record.
+        // Peers that have read up to the later record may lack the held one. Raising its revision makes facts_since() send it to them.
         known->second.revision = std::max(known->second.revision, fact.revision);
         return;
     }
@@ -194,7 +194,7 @@
     if (!is_unchanged)
         changes.servers.push_back(fact.key);
     auto const revision = is_behind ? known->second.revision : fact.revision;
-    // What was held is overwritten below.
+    // Copied, because the assignment below overwrites the held record.
     auto const address_before = before ? std::optional(before->address) : std::nullopt;
     m_facts[key] = fact;
     m_facts[key].revision = revision;
@@ -212,10 +212,10 @@
     bool const has_moved = before && *before != after.address;
     if (has_moved)
         give_back(after.id, changes);
-    // An entry that names nothing to use takes no address from anybody.
+    // A draining server does not supersede other servers.
     if (after.is_draining)
         return;
-    // Nor does a heartbeat alone, which need not be held against the whole list.
+    // Nor does a heartbeat that changes neither service nor address, which saves the search through the whole list.
     auto& place = m_incarnations.at(after.id).place;
     auto const now_at = after.service + '@' + after.address;
     if (std::exchange(place, now_at) != now_at)
@@ -345,7 +345,6 @@
     message.versions = std::move(versions);
 }
 
-/// What a peer knows of a model's versions. One that is new here was named after both had last read without it.
 void FactReplica::take_versions(std::string const& model, Schema::Fact const& message, ReadTime const& told, FactChanges& changes)
 {
     auto const newest_before = m_versions[model].newest();
--- a/Libraries/LibConfiguration/FactReplica.h
+++ b/Libraries/LibConfiguration/FactReplica.h
@@ -15,23 +15,26 @@
 
 namespace Configuration {
 
-/// The two streams of the platform's log that a process follows.
+/// The two topics of the platform's log that a process reads continuously.
 enum class FactTopic {
-    /// The operator's records: the routing configuration and the named versions.
+    /// The operator's records: the routing configuration and the named versions (versions of a model's weights that the operator
+    /// orders the engines to load).
     Configuration,
     /// The list of backend servers.
     BackendServers,
 };
 
-/// A key that was removed.
+/// The value of a key that was removed from the log.
 struct Removed { };
 
-/// A record of a backend server that could not be read.
+/// The value of a backend server's record that could not be parsed.
 struct Unreadable { };
 
 using FactValue = std::variant<Removed, Unreadable, std::shared_ptr<Schema::RoutingConfiguration const>, Schema::ModelVersion, Schema::BackendServer>;
 
-/// One key's value at the offset of its record.
+/// The value of one key of the log, from the record at offset `revision`.
+///
+/// Facts are the routing configuration, the named versions and the list of backend servers, as read from the platform's log.
 struct Fact {
     Schema::FactKind kind { Schema::FactKind::Configuration };
     std::string key;
@@ -39,144 +42,163 @@
     FactValue value;
 };
 
-/// What a batch of facts changed.
+/// Describes what a batch of facts changed in a FactReplica.
 struct FactChanges {
     bool has_configuration { false };
     bool has_versions { false };
-    /// Versions that were known and whose date is another now.
+    /// Versions that were known before and for which an estimate of their naming time changed.
     std::vector<Schema::ModelVersion> dated_versions;
-    /// Keys whose newest record names an older version than the one that is known: a write was carried out late.
+    /// Keys whose newest record has a lower version than the known one, because a delayed write reached the log after a later write.
     std::vector<std::string> older_records;
-    /// Backend servers added, changed or removed.
+    /// Identities of the backend servers that were added, changed or removed. May contain an identity more than once.
     std::vector<std::string> servers;
 
     bool has_any() const { return has_configuration || has_versions || !older_records.empty() || !servers.empty(); }
-    /// Adds what other facts changed after these.
+    /// Appends the changes of a later batch to this one.
     void add(FactChanges const&);
 };
 
-/// When records were read, and since when what is new among them can have been written.
+/// Says when a batch of records was read, and the earliest time at which its new records can have been written.
 struct ReadTime {
     Core::Time now;
-    /// Nothing if it cannot be told.
+    /// Lower bound of the time at which a new record was written; std::nullopt if it is not known.
     std::optional<Core::Time> written_after;
-    /// For what a peer sent: the earliest time at which it can have done so, where that is before now.
+    /// For a batch from a peer: the earliest time at which the peer can have sent it. std::nullopt means `now`.
     std::optional<Core::Time> sent_after {};
 
     Core::Time earliest() const { return sent_after.value_or(now); }
 };
 
-/// A version that was known before this process, or that an engine holds.
+/// A named version that was recorded by an earlier process, or that an engine already holds.
 struct KnownVersion {
     std::string model;
     int64_t version { 0 };
-    /// A time at which it was known, as far as times of day can be trusted.
+    /// A time at which the version was already known. It is derived from a wall clock, which may be wrong.
     Core::Time known { 0 };
 };
 
-/// A process's copy of what the operator and the platform's list say.
+/// A process's copy of the routing configuration, the named versions and the list of backend servers.
 ///
-/// The platform keeps the newest record of each key for ever, so there are no snapshots: a fold of the newest record
-/// by key. It is fed from the log or by peers that read further; whatever comes, nothing moves back.
+/// The platform's log is compacted: it keeps the newest record of each key for ever. The replica therefore needs no snapshots and
+/// holds the newest record of each key. It is updated from the log and from peers that have read further in the log. No
+/// update replaces a value by an older one, in whatever order the updates arrive.
 class FactReplica {
 public:
-    /// Takes records read at `end(topic)`; `end` is the offset behind the last of them.
+    /// Applies records that were read from the log at offset `end(topic)`. The parameter `end` is the offset after the last of them.
     FactChanges on_records(FactTopic, std::vector<Fact> const&, int64_t end, ReadTime const&);
 
-    /// Takes the newest record of every key, read because the records from `end(topic)` on are gone.
-    /// Keys that are not among them were removed.
+    /// Applies a listing, which is the newest record of every key. A listing is read where the records from offset `end(topic)` on
+    /// are no longer retained. A backend server that the listing lacks is treated as removed; the configuration and named
+    /// versions are never removed.
     FactChanges on_listing(FactTopic, std::vector<Fact> const&, int64_t end, ReadTime const&);
 
-    /// Takes records that later ones of the same keys have replaced. A write may be carried out after one that was made later, so
-    /// of versions the highest counts, wherever its record stands.
+    /// Applies superseded records, which later records of the same keys have replaced. A delayed write can reach the log after a later
+    /// write, so the highest version counts, whatever the offset of its record.
     FactChanges on_history(std::vector<Fact> const&, ReadTime const&);
 
-    /// Takes what a peer sent. Facts that cannot be read change nothing. What is new was written after both the peer and this
-    /// process had last read without it.
+    /// Applies facts that a peer sent; facts that cannot be parsed are ignored. A version that is new to this process was written
+    /// after the last time that the peer, or this process, read the log and did not find it.
     FactChanges on_peer(Schema::FactBatch const&, ReadTime const&);
 
-    /// Takes versions that outlived the processes that knew of them. What the log says of a version's key may be older than these.
+    /// Applies versions that were recorded by earlier processes. The log's newest record of the same key may name an older version,
+    /// which then does not replace these.
     FactChanges on_known_versions(std::vector<KnownVersion> const&, Core::Time now);
 
-    /// The offset to read a topic from next.
+    /// Returns the offset to read a topic from next.
     int64_t end(FactTopic topic) const { return topic == FactTopic::Configuration ? m_configuration_end : m_servers_end; }
 
-    /// Whether there are named versions that cannot be dated.
+    /// Returns true if the naming time of any named version is unknown.
     bool has_undated_versions() const;
 
-    /// What a peer lacks that has read this far, and all named versions: of these the log may have told it less, however far it
-    /// has read. A listing names no server that was removed before it: a peer that had not
-    /// read as far goes on reading where it was, or it would take such a server for one that is there.
+    /// Returns the facts that a peer lacks, given the offsets up to which it has read, and all named versions: the log may hold older
+    /// versions than this process knows, so the peer may lack some however far it has read. `age` is how long ago this process
+    /// last read the log.
+    ///
+    /// If this process started from a listing that covers records that the peer has not read, the peer keeps its own offset in the
+    /// topic of backend servers. The listing does not name the servers that were removed before it, so the peer reads their
+    /// removals from the log; otherwise it would keep such servers.
     Schema::FactBatch facts_since(Schema::FactRequest const&, Core::Duration age, Core::Time now) const;
 
-    /// Null until a configuration was read.
+    /// Null until the first configuration is read.
     std::shared_ptr<Schema::RoutingConfiguration const> const& configuration() const { return m_configuration; }
+    /// The named versions, by model.
     std::map<std::string, NamedVersions> const& versions() const { return m_versions; }
-    /// Null for one that is not listed, or whose address a later server has: what crashed stays listed for a while,
-    /// and of two servers at one address only the later one lives. Of one that started again under its identity it is the
-    /// latest incarnation: an earlier one's record, which may be written or told late, changes nothing.
+    /// Returns the latest known record of a backend server. Null if the server is not listed, or if a server of the same service that
+    /// was listed later has its address: a crashed server stays listed for a while, and of two servers at one address only the later
+    /// one is running. After a restart under the same identity the record is that of the latest incarnation; a record of an
+    /// earlier incarnation that is written or sent late is ignored.
     Schema::BackendServer const* server(std::string const& id) const;
+    /// Returns all backend servers for which server() is not null, ordered by identity.
     std::vector<Schema::BackendServer const*> servers() const;
 
 private:
     using Key = std::pair<Schema::FactKind, std::string>;
 
-    /// The latest incarnation that was seen of a backend server.
+    /// The latest known incarnation (one start) of a backend server.
     struct Incarnation {
-        /// Revision at which it was first seen.
+        /// Offset of the record that first listed this incarnation.
         int64_t first_listed { 0 };
-        /// Nothing where no record told it.
+        /// Start time, in milliseconds since the epoch; std::nullopt if no record stated it.
         std::optional<int64_t> started_at_ms;
-        /// The service and address at which it was last in use; empty before it was.
+        /// `SERVICE@ADDRESS` at which the server last accepted requests; empty until it did.
         std::string place {};
-        /// The server that its address went to; empty if none. One that was superseded never lives again, whatever late
-        /// heartbeat of its own comes; only its server's next start does.
+        /// Identity of the server that took over its address; empty if there is none. Late heartbeats of a superseded
+        /// incarnation don't bring it back; the next start of its server does.
         std::string successor {};
     };
 
+    /// Applies one fact if it is newer than the one held under its key.
     void apply(Fact const&, ReadTime const&, FactChanges&);
     void apply_history(Fact const&, ReadTime const&, FactChanges&);
+    /// Updates the configuration or the named versions.
+    /// @return true if the fact replaces the one held under its key.
     bool take_value(Fact const&, ReadTime const&, FactChanges&);
     void take_version(std::string const& model, NamedVersion const&, FactChanges&);
-    /// Whether the log may have told a peer less of such facts than is known here, however far it has read.
+    /// Returns true if the log may lack facts of this kind that are known here, so that a peer may lack them however far it has read.
     bool may_be_missing_on_log(Schema::FactKind) const;
-    /// Whether no later record of the fact's key is known.
+    /// Returns true if no record of the fact's key at the same or a higher offset is known.
     bool is_newest_record(Fact const&) const;
-    /// Whether a named version's fact is no older than the one that is held under its key.
+    /// Returns true if the version is not lower than the version of the fact held under the key.
     bool is_as_new(Key const&, Schema::ModelVersion const&) const;
-    /// Adds all known versions of a model to a fact that goes to a peer.
+    /// Adds all known versions of the fact's model, with their times, to the message for a peer.
     void add_versions(Fact const&, Core::Time now, Schema::Fact&) const;
+    /// Applies the versions of a model that a peer knows, with the times that it states. A version newer than all those known here was
+    /// named after the last time that the peer, or this process, read the log and did not find it.
     void take_versions(std::string const& model, Schema::Fact const&, ReadTime const&, FactChanges&);
-    /// Takes a record of the list of backend servers, if it says something newer than what is held.
+    /// Applies a record of the list of backend servers if it is newer than the one held.
     void apply_server(Fact const&, FactChanges&);
+    /// Marks a known backend server as draining because its newest record could not be parsed.
     void take_unreadable(Fact const&, FactChanges&);
-    /// Begins an incarnation that is later than all that were seen under its identity.
+    /// Records the incarnation of a server if it is later than the known one of the same identity.
     void note_incarnation(Schema::BackendServer const&, int64_t revision);
+    /// Updates the address of a server, and which server supersedes which at the old and the new address.
     void take_address(std::optional<std::string> const& before, Schema::BackendServer const&, FactChanges&);
-    /// Of a service's servers at this one's address only the one that was listed last remains.
+    /// Marks all but the latest listed of a service's servers at this server's address as superseded.
     void supersede(Schema::BackendServer const&, FactChanges&);
-    /// One that was removed asks for its address anew, if it comes back.
+    /// Clears the address of a removed server, so that it is compared with the other servers again if it returns.
     void forget_place(std::string const& id);
-    /// Of a server that is at another address now, nothing holds that its address before decided.
+    /// Clears every supersession that involves a server whose address changed, as it depended on the former address.
     void give_back(std::string const& id, FactChanges&);
 
     std::map<Key, Fact> m_facts;
     std::shared_ptr<Schema::RoutingConfiguration const> m_configuration;
     std::map<std::string, NamedVersions> m_versions;
     std::map<std::string, Incarnation> m_incarnations;
-    // Revision of the last removal of each server: what was written before it is over, whoever tells it.
+    // Offset of the last removal of each server. Records of the server at lower offsets are ignored, whoever sends them.
     std::map<std::string, int64_t> m_removed_at;
-    // The newest record of the configuration is an older one, which whoever starts takes for the newest.
+    // The log's newest record of the configuration holds a lower version than m_configuration, and a process that starts from a
+    // listing reads only that record.
     bool m_log_has_older_configuration { false };
     int64_t m_configuration_end { 0 };
     int64_t m_servers_end { 0 };
-    // Removals of servers before this offset may be missing here.
+    // End offset of the last listing of backend servers. Removals before it may be missing here.
     int64_t m_servers_listed_end { 0 };
 };
 
-/// The fact as it goes to peers.
+/// Converts a fact to the message that is sent to peers. The body is empty for a removed key and for an unreadable record.
 Schema::Fact to_message(Fact const&);
-/// @return MalformedJson, WrongType or UnknownKey for a body that is not of its kind.
+/// Converts a peer's message to a fact. An empty body means that the key was removed.
+/// @return MalformedJson, WrongType or UnknownKey if the body is not valid for the message's kind.
 Core::ErrorOr<Fact> from_message(Schema::Fact const&);
 
 }
--- a/Libraries/LibConfiguration/Fold.cpp
+++ b/Libraries/LibConfiguration/Fold.cpp
@@ -178,7 +178,7 @@
 
 static Core::ErrorOr<void> check_service(std::string const& name, std::string const& text)
 {
-    // These paths are the entry's own.
+    // A service's name is the first part of its path at the entry, and the entry uses these paths itself.
     bool const is_reserved = name == "api" || name == "metrics" || name == "healthz";
     if (is_reserved || name.find('/') != std::string::npos)
         return Core::failure(Core::ErrorCode::ImpossibleSettings, "name: is reserved, or has a slash");
--- a/Libraries/LibConfiguration/NamedVersions.cpp
+++ b/Libraries/LibConfiguration/NamedVersions.cpp
@@ -5,7 +5,7 @@
 
 namespace Configuration {
 
-// More than can be named within the bound on one of them.
+// More versions than can be named before the deadline of one of them.
 static constexpr size_t versions_remembered = 64;
 
 std::optional<Core::Time> later_of(std::optional<Core::Time> a, std::optional<Core::Time> b)
@@ -49,7 +49,8 @@
     return found == versions.end() ? nullptr : &*found;
 }
 
-/// Takes the better of each date. One process's guess of when it was named cannot hold against another's having known it.
+/// Merges the times of two reports of a version. An estimate of when it was named cannot be later than a time at which any process
+/// already knew the version.
 static bool take_dates(NamedVersion& known, NamedVersion const& told)
 {
     auto const before = known;
--- a/Libraries/LibConfiguration/NamedVersions.h
+++ b/Libraries/LibConfiguration/NamedVersions.h
@@ -8,60 +8,64 @@
 
 namespace Configuration {
 
-/// A version that the operator named, and when.
+/// A version that the operator named in a record of the platform's log, and what is known of when that happened.
+///
+/// All times are monotonic times of this process, also where they were derived from a peer's message or a wall clock.
 struct NamedVersion {
     int64_t version { 0 };
-    /// When this process came to know of it.
+    /// When this process found the version, or the earliest time at which a peer can have sent it.
     Core::Time found { 0 };
-    /// The earliest time at which it can have been named; nothing where that cannot be told. A bound on the version runs
-    /// from here: what came late, because a read hung or a peer passed it on, has used up a part of it.
+    /// The earliest time at which the version can have been named; std::nullopt if unknown. The deadline for loading the version is
+    /// counted from here, so a version that arrives late, because a read hung or a peer passed it on, has less time left.
     std::optional<Core::Time> named;
-    /// The earliest time at which some process is known to have known of it: by then it was named for certain. Before the
-    /// start of this process where another one says so.
+    /// The earliest time at which any process is known to have had the version, so it was certainly named by then. This can be before
+    /// the start of this process if a peer reports it.
     Core::Time known { 0 };
-    /// A time at which it was known by the record of a process that is gone. Times of day tell that, and they may be wrong: it
-    /// is told to no other process, and yields to what one that lives tells of when it was named.
+    /// A time at which the version was known according to the stored record of a terminated process. It is derived from a wall clock,
+    /// which may be wrong, so it is not sent to other processes, and a naming time reported by a running process takes precedence.
     std::optional<Core::Time> remembered {};
 
-    /// The best guess of when it was named.
+    /// The best estimate of when the version was named.
     Core::Time presumed() const { return named.value_or(remembered.value_or(known)); }
-    /// Whether it was named by a time, for all that is known.
+    /// Returns true if the version is known to have been named by the given time.
     bool is_named_by(Core::Time) const;
-    /// Whether it can have been named by a time; one that nobody dates may have been at any time.
+    /// Returns true if the version can have been named by the given time. Always true if no naming time is known.
     bool may_be_named_by(Core::Time) const;
 };
 
-/// The versions that were named of one model, oldest first. Each has a bound of its own, so a newer one does not
-/// put off an older one.
+/// The named versions of one model, in ascending order. Each version has its own deadline, so naming a newer version does not
+/// postpone the deadline of an older one. Only the highest 64 versions are kept.
 struct NamedVersions {
     std::vector<NamedVersion> versions;
 
+    /// Returns the highest version, or 0 if there is none.
     int64_t newest() const { return versions.empty() ? 0 : versions.back().version; }
 
-    /// The newest version that was named at or before `named_by`, for all that is known. That is certain of one that was known
-    /// by then. Else it is presumed of one that can have been named by then and was found at or before `found_by`; one that
-    /// cannot be dated may have been named at any time. 0 if there is none.
+    /// Returns the newest version that was named at or before `named_by`, or 0 if there is none. A version that was known by then
+    /// certainly counts. A version that can have been named by then counts if it was found at or before `found_by`; a version
+    /// whose naming time is unknown can have been named at any time.
     int64_t newest_of(Core::Time named_by, Core::Time found_by) const;
 
+    /// Returns true if the naming time of any version is unknown.
     bool has_undated() const;
 
-    /// The version, or null if it is not known.
+    /// Returns the version, or null if it is not known.
     NamedVersion const* find(int64_t version) const;
 
-    /// What a version that was taken has changed.
+    /// What a call of take() changed.
     enum class Taken {
         Nothing,
-        /// It was known, and has another date now.
+        /// The version was known, and one of its times changed.
         Date,
-        /// It was not known, and a newer one was.
+        /// The version was not known, but a newer one was.
         EarlierVersion,
         NewestVersion,
     };
-    /// Takes a version, or better dates of one that is known.
+    /// Adds a version, or improves the times of a known one.
     Taken take(NamedVersion const&);
 };
 
-/// The later of two times before which something cannot have happened.
+/// Returns the later of two lower bounds of a time; std::nullopt means that a bound is unknown, and the other one is returned.
 std::optional<Core::Time> later_of(std::optional<Core::Time>, std::optional<Core::Time>);
 
 }
--- a/Libraries/LibConfiguration/Replica.cpp
+++ b/Libraries/LibConfiguration/Replica.cpp
@@ -7,7 +7,7 @@
 
 static constexpr size_t recent_bytes_limit = 4 * 1024 * 1024;
 static constexpr size_t remembered_chains = 1024;
-// A message stays well below what a link accepts.
+// Well below the largest message that a link accepts.
 static constexpr size_t records_message_bytes = 1024 * 1024;
 
 int64_t Replica::next_offset() const
@@ -36,7 +36,7 @@
         auto parsed = Schema::from_text<Schema::LogRecord>(record.body);
         if (!parsed.has_value() || !parsed->snapshot)
             continue;
-        // Every record behind the snapshot must be at hand, or the fold would have a hole.
+        // Every record after the snapshot's offset must be buffered, or the state would lack records.
         if (parsed->snapshot->folds_to + 1 < m_waiting.front().offset)
             continue;
         auto state = Schema::from_text<Schema::FoldState>(parsed->snapshot->state);
@@ -47,7 +47,7 @@
         m_chains.clear();
         auto waiting = std::exchange(m_waiting, {});
         on_records(waiting);
-        // The rest of the batch continues the run just folded.
+        // Applies the rest of the batch, which follows the buffered records.
         on_records(batch.records);
         break;
     }
--- a/Libraries/LibConfiguration/Replica.h
+++ b/Libraries/LibConfiguration/Replica.h
@@ -7,64 +7,69 @@
 
 namespace Configuration {
 
-/// One answer of the log service.
+/// A response of the log service.
 struct LogBatch {
-    /// Oldest offset still kept.
+    /// Lowest offset that the log still retains.
     int64_t first_retained { 0 };
-    /// Offset that the next append will get.
+    /// Offset that the next appended record will get.
     int64_t end { 0 };
     std::vector<Schema::Record> records;
 };
 
-/// A process's copy of the configuration: the fold, and enough recent records to bring peers up to date.
+/// A process's copy of the operator's configuration: the replayed state, and enough recent records to bring peers up to date.
 ///
-/// It is fed from the log, or by peers that read further; whatever comes, it never goes back.
+/// It is updated from the log and from peers that have read further. Its offset never decreases, in whatever order updates arrive.
 class Replica {
 public:
+    /// The state after the last record that was applied.
     Fold const& fold() const { return m_fold; }
 
-    /// The offset to read the log from next.
+    /// Returns the offset to read the log from next.
     int64_t next_offset() const;
 
-    /// Takes a batch read from the log at next_offset().
-    /// Where the records that it needs have lapsed, it starts again from a snapshot among the newer ones.
-    /// @return true if the fold moved on.
+    /// Applies a batch that was read from the log at next_offset(). If the log no longer retains the next record, the replica
+    /// restarts from a snapshot among the newer records.
+    /// @return true if the offset of the state advanced.
     bool on_log(LogBatch const&);
 
-    /// Takes records from a peer; records already folded are skipped and a gap ends the run.
-    /// @return true if the fold moved on.
+    /// Applies consecutive records from a peer. Records that were already applied are skipped, and those after a gap are ignored.
+    /// @return true if the offset of the state advanced.
     bool on_records(std::vector<Schema::Record> const&);
 
-    /// Takes a peer's snapshot if it is ahead.
-    /// @return true if the fold moved on.
+    /// Replaces the state by a peer's snapshot if that is at a higher offset and can be parsed.
+    /// @return true if the offset of the state advanced.
     bool on_snapshot(Schema::Snapshot const&);
 
-    /// Takes records or a snapshot out of a message of a peer; any other message is none of its business.
-    /// @return true if the fold moved on.
+    /// Applies the records or the snapshot in a peer's message; any other message is ignored.
+    /// @return true if the offset of the state advanced.
     bool on_message(Schema::Message const&);
 
-    /// What a peer at `offset` must be sent to reach this fold: records if they are still at hand, otherwise a snapshot.
+    /// Returns the messages that bring a peer whose state is at `offset` up to this state: records if they are still in memory, otherwise
+    /// a snapshot. Empty if the peer is not behind.
     std::vector<Schema::Message> messages_since(int64_t offset) const;
 
-    /// The record that lets others start once older records have lapsed.
+    /// Returns the body of a snapshot record, from which other processes can start after the log has deleted older records.
     std::string snapshot_record() const;
 
-    /// Snapshot records on the log whose digest disagreed with this fold. Anything above 0 is a fault.
+    /// Number of snapshot records in the log whose digest differs from this state's digest at the same offset. More than 0 is a fault.
     uint64_t divergences() const { return m_divergences; }
 
-    /// Offset of the newest snapshot record that was read, or `no_offset`.
+    /// Offset of the last snapshot record that was applied, or `no_offset`.
     int64_t newest_snapshot_offset() const { return m_newest_snapshot_offset; }
 
 private:
     void fold_record(Schema::Record const&);
+    /// Compares the digest of a snapshot record with the digest of this process at the same offset.
     void look_for_snapshot(Schema::Record const&);
+    /// Restarts from the first usable snapshot in the batch. Records are buffered until one is found.
     bool start_from_snapshot(LogBatch const&);
 
     Fold m_fold;
     std::deque<Schema::Record> m_recent;
     size_t m_recent_bytes { 0 };
-    // Records read while no snapshot to start from was seen yet.
+    // Consecutive records that were read while no snapshot to restart from was found.
     std::vector<Schema::Record> m_waiting;
+    // The digests after each of the latest records, with their offsets.
     std::deque<std::pair<int64_t, std::string>> m_chains;
     uint64_t m_divergences { 0 };
     int64_t m_newest_snapshot_offset { no_offset };
--- a/Libraries/LibConfiguration/SnapshotSchedule.cpp
+++ b/Libraries/LibConfiguration/SnapshotSchedule.cpp
@@ -11,7 +11,7 @@
 
 void SnapshotSchedule::draw(Core::Time now)
 {
-    // Between a quarter and half of the retention: even a missed one leaves time for the next.
+    // Between a quarter and half of the retention, so that time is left for another attempt if one snapshot fails.
     std::uniform_int_distribution<int64_t> wait(m_retention.count() / 4, m_retention.count() / 2);
     m_due = now + Core::Duration(wait(m_random));
     m_is_drawn = true;
--- a/Libraries/LibConfiguration/SnapshotSchedule.h
+++ b/Libraries/LibConfiguration/SnapshotSchedule.h
@@ -7,24 +7,24 @@
 
 namespace Configuration {
 
-/// Decides when this instance publishes a snapshot, so that the state is on the log again well before it lapses.
-/// Every instance waits its own jittered time; a snapshot seen meanwhile starts the wait anew.
+/// Decides when this process appends a snapshot of the replayed state to the log, so that a new one is there well before the log's
+/// retention deletes the last. Every process waits a random time; a snapshot that it reads meanwhile restarts the wait.
 class SnapshotSchedule {
 public:
-    /// `retention` is how long the platform keeps a record.
+    /// `retention` is how long the platform keeps a record of the log; `seed` is for the random waiting times.
     SnapshotSchedule(Core::Duration retention, uint64_t seed);
 
-    /// A snapshot record was read, ours or another's.
+    /// Restarts the wait after a snapshot record was read, whichever process wrote it.
     void on_snapshot_seen(Core::Time now);
 
-    /// A record that is no snapshot was read.
+    /// Counts a record that is not a snapshot. After `records_between_snapshots` of them a snapshot is due at once.
     void on_record();
 
-    /// True if one is due now. It stays due until one is seen, at most one every `retry_interval`.
+    /// Returns true if a snapshot is due now. Until one is read, a snapshot is due again after every `retry_interval`.
     bool take_due(Core::Time now);
 
     static constexpr Core::Duration retry_interval { 10000 };
-    // With many records a new reader would fold for long, and peers hold only the latest.
+    // More records would take a new reader long to replay, and peers keep only the latest records.
     static constexpr uint64_t records_between_snapshots = 2000;
 
 private:
--- a/Libraries/LibMembership/InstanceList.cpp
+++ b/Libraries/LibMembership/InstanceList.cpp
@@ -59,7 +59,7 @@
 
 bool is_demand_relay(std::string const& agent, InstanceList const& list)
 {
-    // The rank is the number of live agents with a higher hash.
+    // An agent's rank is the number of live agents with a higher hash.
     auto const own = Core::stable_hash("demand", agent);
     size_t rank = 0;
     for (auto const& instance : list.members().instances) {
@@ -77,7 +77,7 @@
         entries.push_back(entry);
     std::map<std::string, std::vector<std::string>> by_service;
     for (auto const& instance : list.members().instances) {
-        // Links to a leaving agent stay until its requests have ended.
+        // Links to a leaving agent are kept until its requests have ended.
         if (instance.role == Schema::Role::Agent)
             by_service[instance.service].push_back(instance.id);
     }
--- a/Libraries/LibMembership/KeyHome.cpp
+++ b/Libraries/LibMembership/KeyHome.cpp
@@ -42,7 +42,7 @@
         auto digit = hexadecimal_digit(uuid[i]);
         if (!digit)
             return {};
-        // The first 48 bits, before the second dash, are the time.
+        // The first 48 bits, which are the digits before the second dash, hold the time.
         if (i < 13)
             milliseconds = milliseconds * 16 + *digit;
     }
@@ -89,16 +89,16 @@
 {
     if (list.version() <= m_list_version)
         return;
-    // A list that was skipped may have named another home for a while.
+    // A skipped list may have assigned the keys to another owner for a while.
     bool const follows = list.version() == m_list_version + 1;
     m_list_version = list.version();
-    // The lease was for the older list.
+    // The lease covered the older list only.
     m_lease_from.reset();
     auto agents = list.live_agents(m_service);
     if (follows && !m_eras.empty() && m_eras.back().agents == agents)
         return;
     m_eras.push_back({ wall_now, std::move(agents), follows });
-    // An era that ended before the oldest key still accepted was made decides nothing any more.
+    // Drops the eras that ended before the oldest key that is still accepted was made.
     while (m_eras.size() > 1 && m_eras[1].since + m_settings.key_lifetime < wall_now)
         m_eras.pop_front();
 }
@@ -147,7 +147,7 @@
     if (*made + m_settings.key_lifetime < wall_now)
         return Schema::Reason::KeyTooOld;
     auto const others_stopped = home_since(key) + 2 * m_settings.lease + m_settings.list_lag;
-    // What ran before this process started is forgotten with the one before it.
+    // Requests that ran before this process started are unknown here, because the earlier process kept their outcomes in memory.
     if (*made <= std::max(others_stopped, m_started_at) + m_settings.clock_bound)
         return Schema::Reason::KeyBeforeHome;
     return {};
--- a/Libraries/LibMembership/KeyHome.h
+++ b/Libraries/LibMembership/KeyHome.h
@@ -12,59 +12,64 @@
 
 namespace Membership {
 
-/// Milliseconds since the epoch at which a UUIDv7 was made (RFC 9562, section 5.7); nothing if it is none.
+/// Returns the time at which a UUIDv7 was made (RFC 9562, section 5.7), in milliseconds since the epoch; std::nullopt if the text is not a
+/// UUIDv7.
 std::optional<Core::WallTime> made_at(std::string const& uuid);
 
-/// A new UUIDv7: the time, and 74 random bits.
+/// Makes a UUIDv7 from a time and 74 random bits.
 std::string make_key(Core::WallTime, std::mt19937_64&);
 
-/// The agent that keeps the outcome of an idempotency key: the first in rendezvous order. Empty if there is none.
+/// Returns the identity of the agent that owns an idempotency key, which runs the key's request and keeps its outcome: the first of the
+/// agents in rendezvous order. Empty if there are no agents.
 std::string home_of(std::string const& key, std::vector<std::string> const& agents);
 
 struct KeyHomeSettings {
-    /// How long a lease, or a list read by an entry, counts.
+    /// How long a lease, or a list that an entry has read, is valid.
     Core::Duration lease { 3000 };
-    /// How far two readers of the list may lie apart.
+    /// Maximum time between the moments at which two readers see a new list.
     Core::Duration list_lag { 2000 };
-    /// Largest difference between any two clocks.
+    /// Maximum difference between the wall clocks of any two processes.
     Core::Duration clock_bound { 500 };
-    /// How long an outcome is kept.
+    /// How long the outcome of a request with an idempotency key is kept.
     Core::Duration key_lifetime { 600000 };
 };
 
-/// Decides whether this agent may run a request with a key that was never seen here.
+/// Decides whether this agent owns an idempotency key that it has not seen before, and may run its request.
 ///
-/// The platform's list is the arbiter of a key's home. The agent holds a lease on its list:
-/// an entry that read the same list within a lease answered a ping that was sent within a lease.
-/// An old home thus stops at most two leases and the list's lag after it was taken off the list,
-/// and a new home refuses every key that was made before that.
+/// A key's owner is determined by the platform's list of instances. The agent holds a lease on its list while an entry that read the
+/// same list within the duration of a lease has answered a ping that the agent sent within the duration of a lease. A former
+/// owner therefore stops at most two leases and the list's lag after it was removed from the list. A new owner refuses every key
+/// that was made before that time, because the former owner may have run the request.
 class KeyHome {
 public:
     KeyHome(std::string self, std::string service, KeyHomeSettings, Core::WallTime started_at);
 
-    /// A newer list came in force here.
+    /// Applies a newer list, which ends the lease on the older one.
     void on_list(InstanceList const&, Core::WallTime wall_now);
 
-    /// The echo of a ping. `sent_at` is this agent's own clock at the ping, so that an answer
-    /// that waited while the agent was paused grants nothing.
-    /// `set_since` is since when the answerer has seen the same live agents of this service in every list:
-    /// it spares a restarted agent the wait for homes that there never were.
+    /// Handles an entry's reply to a ping, and renews the lease if it is confirmed. `sent_at` is the time of the ping by this agent's
+    /// clock, so a reply that waited while the agent was paused grants no lease. `list_version` is the version of the entry's list.
+    /// `is_confirmed` says that the entry read that list within the duration of a lease. `set_since` is the time since which the
+    /// entry has seen the same live agents of this service in every list. With it a restarted agent need not wait for former
+    /// owners that never existed.
     void on_pong(Core::Time sent_at, int64_t list_version, bool is_confirmed, std::optional<Core::WallTime> set_since = {});
 
-    /// Nothing if the key may run here for the first time; otherwise why not.
-    /// KeyBeforeHome and KeyTooOld say that it may have run before; every other reason that it was not run here.
+    /// Returns std::nullopt if the key's request may run here for the first time, otherwise the reason for refusing it.
+    /// KeyBeforeHome and KeyTooOld mean that the request may have run before; every other reason means that it was not run here.
     std::optional<Schema::Reason> refusal(std::string const& key, Core::Time now, Core::WallTime wall_now) const;
 
     bool has_lease(Core::Time now) const;
 
 private:
+    /// A time during which the list named the same live agents of the service.
     struct Era {
         Core::WallTime since;
         std::vector<std::string> agents;
-        // False if lists between the previous era and this one were never seen.
+        // False if lists between the previous era and this one were skipped.
         bool follows_previous;
     };
 
+    /// Returns the time since which this agent has owned the key without interruption, as far as its lists show.
     Core::WallTime home_since(std::string const& key) const;
 
     std::string m_self;
@@ -72,15 +77,17 @@
     KeyHomeSettings m_settings;
     Core::WallTime m_started_at;
     int64_t m_list_version { -1 };
-    // The sets of agents that were in force here, oldest first.
+    // Oldest first. Only the eras that can decide about a key that is still accepted are kept.
     std::deque<Era> m_eras;
+    // When the ping was sent whose reply granted the lease.
     std::optional<Core::Time> m_lease_from;
 };
 
-/// Since when an entry has seen the same live agents of each service, in lists of which it skipped none.
+/// Records for each service since when an entry has seen the same live agents in consecutive versions of the list.
 class SetHistory {
 public:
     void on_list(InstanceList const&, Core::WallTime wall_now);
+    /// Returns the time since which the live agents of a service are unchanged, or std::nullopt if no agent serves it.
     std::optional<Core::WallTime> since(std::string const& service) const;
 
 private:
--- a/Libraries/LibMembership/LeaveNotice.cpp
+++ b/Libraries/LibMembership/LeaveNotice.cpp
@@ -11,7 +11,7 @@
 
 void LeaveNotice::on_pong(std::string const& peer, Core::Time pinged_at)
 {
-    // A ping of the same millisecond may have gone out ahead of the news.
+    // A ping of the same millisecond may have been sent before the notice.
     if (pinged_at > m_sent_at)
         m_unaware.erase(peer);
 }
--- a/Libraries/LibMembership/LeaveNotice.h
+++ b/Libraries/LibMembership/LeaveNotice.h
@@ -8,22 +8,24 @@
 
 namespace Membership {
 
-/// Follows which peers have learned that this process leaves.
+/// Tracks which peers have received the notice that this process is leaving.
 ///
-/// A link keeps its order: whatever a peer sent before it knew arrives ahead of its answer to a ping that followed the news. Only
-/// then has all work that the peer handed over been seen here.
+/// A link delivers messages in order: everything that a peer sent before it received the notice arrives before its reply to a ping that
+/// was sent after the notice. Only when that reply arrives has this process received all requests from the peer.
 class LeaveNotice {
 public:
-    /// The news has gone out to all of these peers.
+    /// Starts tracking after the notice was sent to all of these peers.
     void begin(std::vector<std::string> const& peers, Core::Time sent_at);
 
-    /// A peer answered a ping that was sent at `pinged_at`.
+    /// Handles a peer's reply to a ping that was sent at `pinged_at`, by the clock of this process.
     void on_pong(std::string const& peer, Core::Time pinged_at);
 
-    /// The link of a peer ended, and nothing more can come over it.
+    /// Stops waiting for a peer whose link ended, as nothing more can arrive over it.
     void on_gone(std::string const& peer) { m_unaware.erase(peer); }
 
+    /// Returns true if every peer has received the notice or lost its link.
     bool is_known_to_all() const { return m_unaware.empty(); }
+    /// Number of peers that have not confirmed yet that they received the notice.
     size_t unaware_peers() const { return m_unaware.size(); }
 
 private:
--- a/Libraries/LibPlacement/Placement.cpp
+++ b/Libraries/LibPlacement/Placement.cpp
@@ -19,7 +19,7 @@
     }
     domains = Core::rendezvous_order(key, std::move(domains));
 
-    // One copy to each domain in turn: counts differ by one at most, except where a domain has no more to give.
+    // Assigns one copy to each domain in turn: the numbers of copies differ by one at most, unless a domain has no free instance left.
     std::vector<std::string> chosen;
     for (size_t round = 0; chosen.size() < replicas && round < candidates.size(); ++round) {
         for (auto const& domain : domains) {
--- a/Libraries/LibPlacement/Placement.h
+++ b/Libraries/LibPlacement/Placement.h
@@ -9,25 +9,26 @@
 
 namespace Placement {
 
-/// An instance that could hold a copy.
+/// An instance that could hold a copy of the weights.
 struct Candidate {
     std::string id;
     std::string failure_domain;
 };
 
-/// Chooses instances for `replicas` copies, spread evenly over failure domains and, within one,
-/// by rendezvous hashing with `key`, so that the loss of an instance moves about one copy.
-/// The result is ordered: the first to switch to a new version comes first. It is shorter if there are too few.
+/// Chooses the instances that hold the `replicas` copies of a rollout. The copies are spread evenly over the failure domains, and within a
+/// failure domain by rendezvous hash with `key`, so that the loss of an instance moves about one copy.
+/// @return identities of instances in the order in which they switch to a new version; fewer than `replicas` if there are too few.
 std::vector<std::string> place(std::string const& key, size_t replicas, std::vector<Candidate> const&);
 
-/// Which instances each rollout holds, by rollout name.
+/// The identities of the instances that hold each rollout's weights, by name of the rollout.
 using Assignment = std::map<std::string, std::vector<std::string>>;
 
-/// A pure function of the configuration and the list: every agent works out the same answer from the same two.
-/// An instance holds one rollout at most; where there are too few, rollouts are served in the order of their names.
+/// Assigns live agents' instances to the rollouts. This is a pure function of the configuration and the list of instances, so every agent
+/// computes the same result from the same input. An instance holds at most one rollout. If there are too few instances, rollouts
+/// get theirs in the order of their names.
 Assignment assign(Configuration::Fold const&, Membership::InstanceList const&);
 
-/// The rollout that an instance holds, or an empty string.
+/// Returns the name of the rollout that an instance is assigned to, or an empty string.
 std::string rollout_of(Assignment const&, std::string const& instance);
 
 }
--- a/Tests/LibConfiguration/TestFactReplica.cpp
+++ b/Tests/LibConfiguration/TestFactReplica.cpp
@@ -7,13 +7,13 @@
 
 using namespace Configuration;
 
-/// Read right behind the records before it.
+/// A read directly after the preceding records, so that new records were written now.
 static ReadTime followed(Core::Time now)
 {
     return { now, now };
 }
 
-/// Told by a peer to one that has not read itself.
+/// Facts received from a peer by a process that has not read the log itself.
 static ReadTime told_at(Core::Time now)
 {
     return { now, {} };
@@ -192,7 +192,7 @@
     EXPECT_EQ(versions.newest_of(Core::Time(5000), late), 3);
 }
 
-/// What a peer tells that has read this.
+/// Returns everything that a peer with this replica sends to a process that has read nothing.
 static Schema::FactBatch told_by(FactReplica const& peer, Core::Time now)
 {
     return peer.facts_since({ .configuration_from = 0, .servers_from = 0 }, Core::Duration(0), now);
@@ -207,7 +207,7 @@
     auto const& versions = replica.versions().at("m");
     EXPECT_EQ(versions.newest_of(Core::Time(1010), Core::Time(6010)), 2);
     EXPECT_EQ(versions.newest_of(Core::Time(1009), Core::Time(6010)), 0);
-    // The peer knew of it by then, so that is certain, however late this one found it.
+    // The peer knew the version by then, so it was certainly named, however late this process found it.
     EXPECT_EQ(versions.newest_of(Core::Time(1010), Core::Time(0)), 2);
 }
 
@@ -224,7 +224,7 @@
 TEST(FactReplica, WhatAPeerCannotDateWasNamedAfterThisOneHadReadWithoutIt)
 {
     FactReplica peer;
-    // A peer that had known of it for longer would show that this one's read was not complete.
+    // If the peer had known the version for longer, this process's last read of the log would have been incomplete.
     peer.on_records(FactTopic::Configuration, { version_fact(2, 0) }, 1, { Core::Time(5950), {} });
     FactReplica replica;
     replica.on_peer(told_by(peer, Core::Time(6000)), { Core::Time(6000), Core::Time(5900) });
@@ -275,7 +275,7 @@
     FactReplica replica;
     replica.on_records(FactTopic::Configuration, { version_fact(2, 0) }, 1, followed(Core::Time(1000)));
     replica.on_records(FactTopic::Configuration, { version_fact(3, 1) }, 2, followed(Core::Time(5000)));
-    // Both writes were repeated, and the older one was carried out last.
+    // Both writes were repeated, and the one of the older version reached the log last.
     replica.on_records(FactTopic::Configuration, { version_fact(3, 2) }, 3, followed(Core::Time(6000)));
     replica.on_records(FactTopic::Configuration, { version_fact(2, 3) }, 4, followed(Core::Time(7000)));
     auto const& versions = replica.versions().at("m");
@@ -291,7 +291,7 @@
     EXPECT_FALSE(replica.on_listing(FactTopic::Configuration, { version_fact(2, 7) }, 8, { Core::Time(9010), {} }).has_versions);
     auto const& versions = replica.versions().at("m");
     EXPECT_EQ(versions.newest(), 3);
-    // Version 3 was known long before this process found it.
+    // Version 3 was known to an earlier process long before this process found it.
     EXPECT_EQ(versions.newest_of(Core::Time(999), Core::Time(0)), 0);
     EXPECT_EQ(versions.newest_of(Core::Time(1000), Core::Time(0)), 3);
 }
@@ -307,7 +307,7 @@
     EXPECT_TRUE(replica.on_peer(answer, told_at(Core::Time(9010))).has_versions);
     EXPECT_EQ(replica.versions().at("m").newest(), 3);
     EXPECT_EQ(replica.versions().at("m").newest_of(Core::Time(1000), Core::Time(0)), 3);
-    // And it passes that on, though its own log has no such record.
+    // The replica sends the version on to others, although it read no record of it in the log.
     FactReplica third;
     third.on_peer(told_by(replica, Core::Time(9020)), told_at(Core::Time(9020)));
     EXPECT_EQ(third.versions().at("m").newest(), 3);
@@ -330,13 +330,13 @@
 {
     FactReplica peer;
     peer.on_records(FactTopic::Configuration, { version_fact(2, 0) }, 1, followed(Core::Time(1000)));
-    // Cut off meanwhile, this one takes it for named as late as its last try to read failed.
+    // A process that was cut off estimates that the version was named after its last failed read.
     FactReplica cut_off;
     cut_off.on_records(FactTopic::Configuration, { version_fact(2, 0) }, 1, { Core::Time(20000), Core::Time(19000) });
     EXPECT_EQ(cut_off.versions().at("m").newest_of(Core::Time(13500), Core::Time(20000)), 0);
     cut_off.on_peer(told_by(peer, Core::Time(20500)), told_at(Core::Time(20500)));
     EXPECT_EQ(cut_off.versions().at("m").newest_of(Core::Time(1000), Core::Time(0)), 2);
-    // Who asks the one that guessed is not misled.
+    // A third process that requests facts from the process that estimated gets the correct time.
     FactReplica third;
     third.on_peer(told_by(cut_off, Core::Time(21000)), told_at(Core::Time(21000)));
     EXPECT_EQ(third.versions().at("m").newest_of(Core::Time(1000), Core::Time(0)), 2);
@@ -346,7 +346,7 @@
 {
     FactReplica peer;
     peer.on_records(FactTopic::Configuration, { configuration_fact(6, 1) }, 2, followed(Core::Time(1000)));
-    // The write of an older one was carried out late.
+    // The delayed write of an older configuration reached the log.
     peer.on_records(FactTopic::Configuration, { configuration_fact(3, 2) }, 3, followed(Core::Time(2000)));
     ASSERT_EQ(peer.configuration()->version, 6);
     FactReplica started_later;
@@ -360,7 +360,7 @@
 {
     auto heartbeat = [](bool is_draining, int64_t revision) {
         auto fact = server_fact("s", is_draining, revision);
-        // Without a start the order of the records is all that tells a late one from a server that is ready again.
+        // Without a start time only the order of the records tells a late one from a server that is ready again.
         std::get<Schema::BackendServer>(fact.value).started_at_ms = 1000;
         return fact;
     };
@@ -398,7 +398,7 @@
         RC_ASSERT(versions.newest() >= newest);
         newest = versions.newest();
         for (auto const& each : versions.versions) {
-            // That a version was known by a time is certain; what times of day tell yields to a better date.
+            // `known` is certain and can only move back; `remembered`, which comes from wall clocks, is not checked.
             auto const [before, is_new] = known_before.try_emplace(each.version, each.known);
             RC_ASSERT(is_new || each.known <= before->second);
             RC_ASSERT(each.known <= now);
@@ -435,7 +435,7 @@
     EXPECT_EQ(changes.servers, (std::vector<std::string> { "new", "z-old" }));
     EXPECT_EQ(ids(replica), (std::vector<std::string> { "new", "other" }));
     EXPECT_EQ(replica.server("z-old"), nullptr);
-    // A late heartbeat of the one that is gone, and then its end, change nothing.
+    // A late heartbeat of the earlier incarnation, and then its removal, change nothing.
     replica.on_records(FactTopic::BackendServers, { server_at("a:1", "z-old", 30) }, 31, followed(Core::Time(0)));
     EXPECT_EQ(ids(replica), (std::vector<std::string> { "new", "other" }));
     replica.on_records(FactTopic::BackendServers, { removed_fact("z-old", 40) }, 41, followed(Core::Time(0)));
@@ -476,7 +476,7 @@
     EXPECT_FALSE(take_server(replica, born(1000, server_at("a:2", "s", 3))).has_any());
     EXPECT_EQ(replica.server("s")->started_at_ms, 2000);
     EXPECT_EQ(replica.server("s")->address, "a:1");
-    // What it says afterwards is heard, whatever was written between.
+    // A later record of the current incarnation is applied despite the ignored one.
     EXPECT_TRUE(take_server(replica, born(2000, server_fact("s", true, 4))).has_any());
 }
 
@@ -487,7 +487,7 @@
     take_server(replica, born(1000, server_fact("s", true, 2)));
     EXPECT_FALSE(take_server(replica, born(1000, server_fact("s", false, 3))).has_any());
     EXPECT_TRUE(replica.server("s")->is_draining);
-    // Its next start is another matter.
+    // The next incarnation is ready.
     take_server(replica, born(2000, server_fact("s", false, 4)));
     EXPECT_FALSE(replica.server("s")->is_draining);
 }
@@ -521,7 +521,7 @@
     take_server(replica, born(1000, server_fact("s", false, 3)));
     ASSERT_NE(replica.server("s"), nullptr);
     EXPECT_FALSE(replica.server("s")->is_draining);
-    // What was written before the removal is over, however late it is told.
+    // A record that was written before the removal is ignored, however late it arrives.
     Schema::FactBatch batch {};
     batch.facts = { to_message(born(2000, server_fact("s", true, 1))) };
     replica.on_peer(batch, told_at(Core::Time(1)));
@@ -538,7 +538,7 @@
     EXPECT_EQ(ids(replica), (std::vector<std::string> { "other" }));
     EXPECT_TRUE(take_server(replica, born(3000, server_at("a:2", "s", 4))).has_any());
     EXPECT_EQ(ids(replica), (std::vector<std::string> { "other", "s" }));
-    // It may take an address in its turn.
+    // The restarted server can itself take over an address.
     take_server(replica, born(4000, server_at("a:1", "s", 5)));
     EXPECT_EQ(ids(replica), (std::vector<std::string> { "s" }));
 }
@@ -554,7 +554,7 @@
     EXPECT_TRUE(replica.on_peer(told_by(peer, Core::Time(2)), told_at(Core::Time(2))).has_any());
     EXPECT_EQ(replica.server("s")->started_at_ms, 2000);
     EXPECT_FALSE(replica.server("s")->is_draining);
-    // A peer that is behind does not undo it.
+    // A peer that has read less of the log does not undo the correction.
     Schema::FactBatch behind {};
     behind.facts = { to_message(born(1000, server_fact("s", true, 3))) };
     EXPECT_FALSE(replica.on_peer(behind, told_at(Core::Time(3))).has_any());
@@ -609,7 +609,7 @@
     EXPECT_EQ(replica.versions().at("m").newest(), 3);
 }
 
-// However the records of versions and configurations were ordered, a process that starts goes by the highest that the log still holds.
+// In whatever order the records of versions and configurations were written, a starting process uses the highest that the log holds.
 RC_GTEST_PROP(FactReplica, AStartGoesByTheHighestOfWhateverTheLogHolds, ())
 {
     auto const numbers = *rc::gen::nonEmpty(rc::gen::container<std::vector<int64_t>>(rc::gen::inRange<int64_t>(1, 50)));
--- a/Tests/LibConfiguration/TestFold.cpp
+++ b/Tests/LibConfiguration/TestFold.cpp
@@ -63,7 +63,8 @@
 
 namespace {
 
-/// What racing operators publish: each names the revision that it last saw, which may be old.
+/// Returns records of operators who change the same resources at the same time. Each expects the revision that it last read, which may be
+/// outdated.
 std::vector<std::string> racing_changes()
 {
     auto const count = *rc::gen::inRange(1, 60);
@@ -96,7 +97,7 @@
             continue;
         }
         RC_ASSERT(change.expected_revision == before);
-        // A revision is an offset, so even a resource that was deleted and made again never has an old one.
+        // A revision is an offset, so a resource that was deleted and created again never reuses a revision.
         RC_ASSERT(winners.emplace(std::pair(change.name, fold.offset()), change.change_id).second);
         auto const after = fold.rollout_revision(change.name);
         RC_ASSERT(after == fold.offset() || after == no_revision);
--- a/Tests/LibConfiguration/TestReplica.cpp
+++ b/Tests/LibConfiguration/TestReplica.cpp
@@ -9,7 +9,7 @@
 
 namespace {
 
-/// A log with retention, as the platform gives it.
+/// A log with limited retention, like the platform's.
 struct FakeLog {
     std::vector<std::string> bodies;
     int64_t first_retained { 0 };
@@ -65,7 +65,7 @@
     std::vector<int64_t> snapshots;
     for (int i = 0; i < changes; ++i) {
         log.add_change(i);
-        // A snapshot may be appended behind records that its writer had not read yet.
+        // A snapshot may be appended after records that its writer has not read yet.
         bool const writes_snapshot = *rc::gen::inRange(0, 8) == 0;
         if (*rc::gen::inRange(0, 3) != 0)
             read_all(veteran, log, page);
@@ -98,7 +98,7 @@
         auto& target = replicas[*rc::gen::inRange<size_t>(0, replicas.size())];
         auto const before = target.fold().offset();
         if (*rc::gen::inRange(0, 2) == 0) {
-            // A read from any offset, as a late answer would be.
+            // A batch read at any offset, as in a delayed response.
             target.on_log(log.read(*rc::gen::inRange<int64_t>(0, 41), *rc::gen::inRange<int64_t>(1, 10)));
         } else {
             auto const& source = replicas[*rc::gen::inRange<size_t>(0, replicas.size())];
@@ -134,7 +134,7 @@
     schedule.on_snapshot_seen(Core::Time(20000));
     EXPECT_FALSE(schedule.take_due(Core::Time(20000) + retention / 4 - Core::Duration(1)));
     EXPECT_TRUE(schedule.take_due(Core::Time(20000) + retention / 2));
-    // Not seen yet: due again, but not at once.
+    // The snapshot was not read back yet, so it is due again after the retry interval.
     EXPECT_FALSE(schedule.take_due(Core::Time(20001) + retention / 2));
     EXPECT_TRUE(schedule.take_due(Core::Time(20000) + retention / 2 + SnapshotSchedule::retry_interval));
 }
--- a/Tests/LibMembership/TestKeyHome.cpp
+++ b/Tests/LibMembership/TestKeyHome.cpp
@@ -118,13 +118,13 @@
     EXPECT_EQ(again.refusal(key_made_at(soon, 1), now, soon), Schema::Reason::KeyBeforeHome);
     again.on_pong(now, 1, true, epoch);
     EXPECT_EQ(again.refusal(key_made_at(soon, 1), now, soon), std::nullopt);
-    // What it ran before the restart it does not know.
+    // The restarted agent does not know which requests ran before the restart.
     EXPECT_EQ(again.refusal(key_made_at(restarted, 1), now, soon), Schema::Reason::KeyBeforeHome);
 }
 
 TEST_F(KeyHomeTest, AListThatWasSkippedMayHaveNamedAnotherHome)
 {
-    // Version 2 was never seen here: it may have left "a" out for a while.
+    // Version 2 of the list was skipped; it may have left out "a" for a while.
     home.on_list(list_of(3, { "a" }), wall);
     home.on_pong(now, 3, true);
     EXPECT_EQ(home.refusal(key, now, wall), Schema::Reason::KeyBeforeHome);
@@ -132,7 +132,8 @@
 
 namespace {
 
-/// Instances with views that lag and pauses, around the state machine under test. Time is virtual, one step is 100 ms.
+/// Simulates agents that pause and restart, and entries that see outdated lists, with the class under test. Time is virtual; one step is
+/// 100 ms.
 struct World {
     static constexpr Core::Duration step { 100 };
     struct Entry {
@@ -178,7 +179,7 @@
     {
         if (entry.is_cut_off)
             return;
-        // The platform shows any list that was in force within its lag.
+        // The platform may return any list that was current within the lag.
         for (size_t i = published.size(); i-- > 0;) {
             bool const may_be_shown = i + 1 == published.size() || published[i + 1].first + settings.list_lag > now;
             if (!may_be_shown)
@@ -246,7 +247,7 @@
         auto& entry = world.entries[*rc::gen::inRange<size_t>(0, 2)];
         auto& agent = world.agents[*rc::gen::inRange<size_t>(0, 3)];
         auto const event = *rc::gen::inRange(0, 1000);
-        // Long enough between changes for leases to settle, short enough for several to overlap.
+        // Changes are rare enough for leases to be renewed between them, and frequent enough for several to overlap.
         if (event < 6)
             world.publish();
         else if (event < 16)
@@ -254,7 +255,7 @@
         else if (event < 26)
             agent.is_paused = !agent.is_paused;
         else if (event < 28) {
-            // What it ran before is forgotten with the process.
+            // The outcomes of its requests are lost with the process.
             world.restart(agent);
             known_at[agent.id].clear();
         } else if (event < 120) {
@@ -265,7 +266,7 @@
             world.entry_reads(reading);
         world.agent_talks(agent, entry);
         world.pong_arrives_late(agent);
-        // A caller sends any of its keys again, to any agent.
+        // Callers send every key again in each step, to any agent.
         for (auto const& key : keys) {
             auto& target = world.agents[*rc::gen::inRange<size_t>(0, 3)];
             if (target.is_paused || known_at[target.id].contains(key))
--- a/Tests/LibMembership/TestLeaveNotice.cpp
+++ b/Tests/LibMembership/TestLeaveNotice.cpp
@@ -23,7 +23,7 @@
     notice.begin({ "entry-0" }, Core::Time(1000));
     notice.on_gone("entry-0");
     EXPECT_TRUE(notice.is_known_to_all());
-    // It may come back; the first that it hears is that this process leaves.
+    // The peer may connect again; this process then sends it the notice first.
     notice.on_pong("entry-0", Core::Time(2000));
     EXPECT_TRUE(notice.is_known_to_all());
 }
--- a/Tests/LibPlacement/TestPlacement.cpp
+++ b/Tests/LibPlacement/TestPlacement.cpp
@@ -39,7 +39,7 @@
     auto const counts = per_domain(chosen, all);
     for (auto const& [domain, count] : counts) {
         for (auto const& [other, other_count] : counts) {
-            // A domain has two more than another only where the other has no more to give.
+            // A domain has two more copies than another only if the other has no free instance left.
             if (count > other_count + 1)
                 RC_ASSERT(other_count == capacity[other]);
         }
@@ -64,7 +64,7 @@
     auto const after = place("r", replicas, all);
     std::set<std::string> const old_set(before.begin(), before.end());
     auto const moved = std::count_if(after.begin(), after.end(), [&](auto const& id) { return !old_set.contains(id); });
-    // One copy replaces the lost one; a domain that vanishes with it may shift the odd copies of the others by one more.
+    // One copy replaces the lost one. If the instance was the last one of its domain, one more copy may move to another domain.
     RC_ASSERT(moved <= 1 + (before.size() == after.size() ? 0 : 1));
 }
 
