--- a/Libraries/LibConfiguration/FactReplica.cpp
+++ b/Libraries/LibConfiguration/FactReplica.cpp
@@ -19,7 +19,7 @@
 }
 
 /// Returns true if the server counts as draining only because a part of its record could not be parsed.
-static bool is_unread(Schema::BackendServer const& server)
+static bool is_presumed_draining(Schema::BackendServer const& server)
 {
     return server.is_draining && !server.unreadable_fields.empty();
 }
@@ -35,17 +35,17 @@
 {
     has_configuration = has_configuration || later.has_configuration;
     has_versions = has_versions || later.has_versions;
-    dated_versions.insert(dated_versions.end(), later.dated_versions.begin(), later.dated_versions.end());
-    older_records.insert(older_records.end(), later.older_records.begin(), later.older_records.end());
+    versions_with_changed_times.insert(versions_with_changed_times.end(), later.versions_with_changed_times.begin(), later.versions_with_changed_times.end());
+    keys_with_older_records.insert(keys_with_older_records.end(), later.keys_with_older_records.begin(), later.keys_with_older_records.end());
     servers.insert(servers.end(), later.servers.begin(), later.servers.end());
 }
 
-void FactReplica::take_version(std::string const& model, NamedVersion const& named, FactChanges& changes)
+void FactReplica::merge_version(std::string const& model, NamedVersion const& named, FactChanges& changes)
 {
-    auto const taken = m_versions[model].take(named);
-    if (taken == NamedVersions::Taken::Date)
-        changes.dated_versions.push_back({ .model = model, .version = named.version });
-    changes.has_versions = changes.has_versions || taken == NamedVersions::Taken::NewestVersion;
+    auto const taken = m_versions[model].merge(named);
+    if (taken == NamedVersions::MergeResult::TimesChanged)
+        changes.versions_with_changed_times.push_back({ .model = model, .version = named.version });
+    changes.has_versions = changes.has_versions || taken == NamedVersions::MergeResult::NewestVersionAdded;
 }
 
 bool FactReplica::is_newest_record(Fact const& fact) const
@@ -54,19 +54,19 @@
     return known == m_facts.end() || known->second.revision < fact.revision;
 }
 
-bool FactReplica::is_as_new(Key const& key, Schema::ModelVersion const& version) const
+bool FactReplica::is_at_least_held_version(Key const& key, Schema::ModelVersion const& version) const
 {
     auto const known = m_facts.find(key);
     auto const* held = known == m_facts.end() ? nullptr : std::get_if<Schema::ModelVersion>(&known->second.value);
     return !held || version.version >= held->version;
 }
 
-bool FactReplica::take_value(Fact const& fact, ReadTime const& read, FactChanges& changes)
+bool FactReplica::update_value(Fact const& fact, ReadTime const& read, FactChanges& changes)
 {
     if (auto const* configuration = std::get_if<std::shared_ptr<Schema::RoutingConfiguration const>>(&fact.value)) {
         // A record with a lower version than the one in force is the result of a delayed write.
         if (m_configuration && (*configuration)->version < m_configuration->version && is_newest_record(fact)) {
-            changes.older_records.push_back(fact.key);
+            changes.keys_with_older_records.push_back(fact.key);
             m_log_has_older_configuration = true;
         }
         if (m_configuration && (*configuration)->version <= m_configuration->version)
@@ -80,17 +80,17 @@
         // A record that names a known version again does not show when the version was first named.
         bool const is_known = m_versions[named->model].find(named->version);
         auto const named_after = is_known ? std::nullopt : read.written_after;
-        take_version(named->model, { named->version, read.earliest(), named_after, read.now }, changes);
+        merge_version(named->model, { named->version, read.earliest(), named_after, read.now }, changes);
         if (named->version < m_versions[named->model].newest() && is_newest_record(fact))
-            changes.older_records.push_back(fact.key);
-        return is_as_new({ fact.kind, fact.key }, *named);
+            changes.keys_with_older_records.push_back(fact.key);
+        return is_at_least_held_version({ fact.kind, fact.key }, *named);
     }
     return true;
 }
 
 /// An unreadable record may have announced that the server is draining, so the server gets no new requests. Its requests in flight go on,
 /// because the rest of its last readable record still holds. The server's next readable heartbeat ends this state.
-void FactReplica::take_unreadable(Fact const& fact, FactChanges& changes)
+void FactReplica::apply_unreadable(Fact const& fact, FactChanges& changes)
 {
     auto const known = m_facts.find({ fact.kind, fact.key });
     // Unknown keys are not stored: foreign writers may write to many keys.
@@ -109,7 +109,7 @@
 void FactReplica::apply(Fact const& fact, ReadTime const& read, FactChanges& changes)
 {
     if (std::holds_alternative<Unreadable>(fact.value)) {
-        take_unreadable(fact, changes);
+        apply_unreadable(fact, changes);
         return;
     }
     if (fact.kind == Schema::FactKind::BackendServer) {
@@ -125,7 +125,7 @@
     // The configuration and named versions are never removed.
     if (std::holds_alternative<Removed>(fact.value))
         return;
-    if (take_value(fact, read, changes))
+    if (update_value(fact, read, changes))
         m_facts[key] = fact;
 }
 
@@ -134,9 +134,9 @@
     if (auto const* named = std::get_if<Schema::ModelVersion>(&fact.value)) {
         auto const newest_before = m_versions[named->model].newest();
         // The time at which it was named is unknown.
-        take_version(named->model, { named->version, read.earliest(), std::nullopt, read.now }, changes);
+        merge_version(named->model, { named->version, read.earliest(), std::nullopt, read.now }, changes);
         if (newest_before > 0 && named->version > newest_before)
-            changes.older_records.push_back(fact.key);
+            changes.keys_with_older_records.push_back(fact.key);
         return;
     }
     auto const* configuration = std::get_if<std::shared_ptr<Schema::RoutingConfiguration const>>(&fact.value);
@@ -145,7 +145,7 @@
         return;
     apply(fact, read, changes);
     m_log_has_older_configuration = true;
-    changes.older_records.push_back(fact.key);
+    changes.keys_with_older_records.push_back(fact.key);
 }
 
 /// How a record compares with the one held under the same key.
@@ -158,7 +158,7 @@
     AsLogged,
 };
 
-static RecordOrder order_of(Schema::BackendServer const& held, Schema::BackendServer const& told)
+static RecordOrder order_of_records(Schema::BackendServer const& held, Schema::BackendServer const& told)
 {
     // Without both start times only the order in the log can tell incarnations apart.
     if (!held.started_at_ms || !told.started_at_ms)
@@ -167,7 +167,7 @@
         return *held.started_at_ms < *told.started_at_ms ? RecordOrder::Newer : RecordOrder::Older;
     // Within one incarnation draining is final: a server becomes ready again only by a new start or after a removal of its record.
     // A record of the same incarnation that says that it is ready was therefore written before the draining one.
-    if (held.is_draining != told.is_draining && !is_unread(held) && !is_unread(told))
+    if (held.is_draining != told.is_draining && !is_presumed_draining(held) && !is_presumed_draining(told))
         return told.is_draining ? RecordOrder::Newer : RecordOrder::Older;
     return RecordOrder::AsLogged;
 }
@@ -181,7 +181,7 @@
     auto const known = m_facts.find(key);
     auto const* before = known == m_facts.end() ? nullptr : std::get_if<Schema::BackendServer>(&known->second.value);
     auto const* after = std::get_if<Schema::BackendServer>(&fact.value);
-    auto const order = before && after ? order_of(*before, *after) : RecordOrder::AsLogged;
+    auto const order = before && after ? order_of_records(*before, *after) : RecordOrder::AsLogged;
     bool const is_behind = known != m_facts.end() && known->second.revision >= fact.revision;
     if (order == RecordOrder::AsLogged && is_behind)
         return;
@@ -200,47 +200,47 @@
     m_facts[key].revision = revision;
     if (!after) {
         m_removed_at[fact.key] = fact.revision;
-        forget_place(fact.key);
+        clear_service_address(fact.key);
         return;
     }
-    note_incarnation(*after, fact.revision);
-    take_address(address_before, *after, changes);
+    update_incarnation(*after, fact.revision);
+    update_address(address_before, *after, changes);
 }
 
-void FactReplica::take_address(std::optional<std::string> const& before, Schema::BackendServer const& after, FactChanges& changes)
+void FactReplica::update_address(std::optional<std::string> const& before, Schema::BackendServer const& after, FactChanges& changes)
 {
     bool const has_moved = before && *before != after.address;
     if (has_moved)
-        give_back(after.id, changes);
+        clear_supersessions(after.id, changes);
     // A draining server does not supersede other servers.
     if (after.is_draining)
         return;
     // Nor does a heartbeat that changes neither service nor address, which saves the search through the whole list.
-    auto& place = m_incarnations.at(after.id).place;
-    auto const now_at = after.service + '@' + after.address;
-    if (std::exchange(place, now_at) != now_at)
+    auto& service_address = m_incarnations.at(after.id).service_address;
+    auto const new_service_address = after.service + '@' + after.address;
+    if (std::exchange(service_address, new_service_address) != new_service_address)
         supersede(after, changes);
 }
 
-void FactReplica::forget_place(std::string const& id)
+void FactReplica::clear_service_address(std::string const& id)
 {
     auto const incarnation = m_incarnations.find(id);
     if (incarnation != m_incarnations.end())
-        incarnation->second.place.clear();
+        incarnation->second.service_address.clear();
 }
 
-void FactReplica::give_back(std::string const& id, FactChanges& changes)
+void FactReplica::clear_supersessions(std::string const& id, FactChanges& changes)
 {
     for (auto& [superseded, incarnation] : m_incarnations) {
-        bool const is_over = !incarnation.successor.empty() && (superseded == id || incarnation.successor == id);
-        if (!is_over)
+        bool const involves_server = !incarnation.successor.empty() && (superseded == id || incarnation.successor == id);
+        if (!involves_server)
             continue;
         incarnation.successor.clear();
         changes.servers.push_back(superseded);
     }
 }
 
-void FactReplica::note_incarnation(Schema::BackendServer const& server, int64_t revision)
+void FactReplica::update_incarnation(Schema::BackendServer const& server, int64_t revision)
 {
     auto const [found, is_first] = m_incarnations.try_emplace(server.id, Incarnation { revision, server.started_at_ms });
     auto& latest = found->second;
@@ -314,7 +314,7 @@
         if (!fact.has_value())
             continue;
         if (auto const* version = std::get_if<Schema::ModelVersion>(&fact->value))
-            take_versions(version->model, message, told, changes);
+            merge_peer_versions(version->model, message, told, changes);
         apply(*fact, told, changes);
     }
     m_configuration_end = std::max(m_configuration_end, batch.configuration_end);
@@ -326,11 +326,11 @@
 {
     FactChanges changes;
     for (auto const& each : versions)
-        take_version(each.model, { each.version, now, {}, now, std::min(each.known, now) }, changes);
+        merge_version(each.model, { each.version, now, {}, now, std::min(each.known, now) }, changes);
     return changes;
 }
 
-void FactReplica::add_versions(Fact const& fact, Core::Time now, Schema::Fact& message) const
+void FactReplica::add_known_versions(Fact const& fact, Core::Time now, Schema::Fact& message) const
 {
     auto const* version = std::get_if<Schema::ModelVersion>(&fact.value);
     if (!version)
@@ -345,14 +345,14 @@
     message.versions = std::move(versions);
 }
 
-void FactReplica::take_versions(std::string const& model, Schema::Fact const& message, ReadTime const& told, FactChanges& changes)
+void FactReplica::merge_peer_versions(std::string const& model, Schema::Fact const& message, ReadTime const& told, FactChanges& changes)
 {
     auto const newest_before = m_versions[model].newest();
     for (auto const& each : message.versions.value_or(std::vector<Schema::ToldVersion> {})) {
         auto named = time_before(told.earliest(), each.named_ms_ago);
         if (each.version > newest_before)
-            named = later_of(named, told.written_after);
-        take_version(model, { each.version, told.earliest(), named, told.now - Core::Duration(each.known_ms_ago) }, changes);
+            named = later_lower_bound(named, told.written_after);
+        merge_version(model, { each.version, told.earliest(), named, told.now - Core::Duration(each.known_ms_ago) }, changes);
     }
 }
 
@@ -361,7 +361,7 @@
     return std::any_of(m_versions.begin(), m_versions.end(), [](auto const& named) { return named.second.has_undated(); });
 }
 
-bool FactReplica::may_be_missing_on_log(Schema::FactKind kind) const
+bool FactReplica::may_be_missing_in_log(Schema::FactKind kind) const
 {
     return kind == Schema::FactKind::ModelVersion || (kind == Schema::FactKind::Configuration && m_log_has_older_configuration);
 }
@@ -375,10 +375,10 @@
     batch.servers_end = has_all_removals ? m_servers_end : std::min(m_servers_end, request.servers_from);
     for (auto const& [key, fact] : m_facts) {
         auto const from = topic_of(key.first) == FactTopic::Configuration ? request.configuration_from : request.servers_from;
-        if (fact.revision < from && !may_be_missing_on_log(key.first))
+        if (fact.revision < from && !may_be_missing_in_log(key.first))
             continue;
         batch.facts.push_back(to_message(fact));
-        add_versions(fact, now, batch.facts.back());
+        add_known_versions(fact, now, batch.facts.back());
     }
     return batch;
 }
--- a/Libraries/LibConfiguration/FactReplica.h
+++ b/Libraries/LibConfiguration/FactReplica.h
@@ -47,13 +47,13 @@
     bool has_configuration { false };
     bool has_versions { false };
     /// Versions that were known before and for which an estimate of their naming time changed.
-    std::vector<Schema::ModelVersion> dated_versions;
+    std::vector<Schema::ModelVersion> versions_with_changed_times;
     /// Keys whose newest record has a lower version than the known one, because a delayed write reached the log after a later write.
-    std::vector<std::string> older_records;
+    std::vector<std::string> keys_with_older_records;
     /// Identities of the backend servers that were added, changed or removed. May contain an identity more than once.
     std::vector<std::string> servers;
 
-    bool has_any() const { return has_configuration || has_versions || !older_records.empty() || !servers.empty(); }
+    bool has_any() const { return has_configuration || has_versions || !keys_with_older_records.empty() || !servers.empty(); }
     /// Appends the changes of a later batch to this one.
     void add(FactChanges const&);
 };
@@ -73,7 +73,7 @@
 struct KnownVersion {
     std::string model;
     int64_t version { 0 };
-    /// A time at which the version was already known. It is derived from a wall clock, which may be wrong.
+    /// A time at which the version was already known. It may be derived from a wall clock, which may be wrong.
     Core::Time known { 0 };
 };
 
@@ -96,8 +96,8 @@
     /// write, so the highest version counts, whatever the offset of its record.
     FactChanges on_history(std::vector<Fact> const&, ReadTime const&);
 
-    /// Applies facts that a peer sent; facts that cannot be parsed are ignored. A version that is new to this process was written
-    /// after the last time that the peer, or this process, read the log and did not find it.
+    /// Applies facts that a peer sent; facts that cannot be parsed are ignored. A version that is new to this process was named
+    /// after both the peer and this process had last read the log without finding it.
     FactChanges on_peer(Schema::FactBatch const&, ReadTime const&);
 
     /// Applies versions that were recorded by earlier processes. The log's newest record of the same key may name an older version,
@@ -141,7 +141,7 @@
         /// Start time, in milliseconds since the epoch; std::nullopt if no record stated it.
         std::optional<int64_t> started_at_ms;
         /// `SERVICE@ADDRESS` at which the server last accepted requests; empty until it did.
-        std::string place {};
+        std::string service_address {};
         /// Identity of the server that took over its address; empty if there is none. Late heartbeats of a superseded
         /// incarnation don't bring it back; the next start of its server does.
         std::string successor {};
@@ -152,33 +152,33 @@
     void apply_history(Fact const&, ReadTime const&, FactChanges&);
     /// Updates the configuration or the named versions.
     /// @return true if the fact replaces the one held under its key.
-    bool take_value(Fact const&, ReadTime const&, FactChanges&);
-    void take_version(std::string const& model, NamedVersion const&, FactChanges&);
+    bool update_value(Fact const&, ReadTime const&, FactChanges&);
+    void merge_version(std::string const& model, NamedVersion const&, FactChanges&);
     /// Returns true if the log may lack facts of this kind that are known here, so that a peer may lack them however far it has read.
-    bool may_be_missing_on_log(Schema::FactKind) const;
+    bool may_be_missing_in_log(Schema::FactKind) const;
     /// Returns true if no record of the fact's key at the same or a higher offset is known.
     bool is_newest_record(Fact const&) const;
     /// Returns true if the version is not lower than the version of the fact held under the key.
-    bool is_as_new(Key const&, Schema::ModelVersion const&) const;
+    bool is_at_least_held_version(Key const&, Schema::ModelVersion const&) const;
     /// Adds all known versions of the fact's model, with their times, to the message for a peer.
-    void add_versions(Fact const&, Core::Time now, Schema::Fact&) const;
+    void add_known_versions(Fact const&, Core::Time now, Schema::Fact&) const;
     /// Applies the versions of a model that a peer knows, with the times that it states. A version newer than all those known here was
-    /// named after the last time that the peer, or this process, read the log and did not find it.
-    void take_versions(std::string const& model, Schema::Fact const&, ReadTime const&, FactChanges&);
+    /// named after both the peer and this process had last read the log without finding it.
+    void merge_peer_versions(std::string const& model, Schema::Fact const&, ReadTime const&, FactChanges&);
     /// Applies a record of the list of backend servers if it is newer than the one held.
     void apply_server(Fact const&, FactChanges&);
     /// Marks a known backend server as draining because its newest record could not be parsed.
-    void take_unreadable(Fact const&, FactChanges&);
+    void apply_unreadable(Fact const&, FactChanges&);
     /// Records the incarnation of a server if it is later than the known one of the same identity.
-    void note_incarnation(Schema::BackendServer const&, int64_t revision);
+    void update_incarnation(Schema::BackendServer const&, int64_t revision);
     /// Updates the address of a server, and which server supersedes which at the old and the new address.
-    void take_address(std::optional<std::string> const& before, Schema::BackendServer const&, FactChanges&);
+    void update_address(std::optional<std::string> const& before, Schema::BackendServer const&, FactChanges&);
     /// Marks all but the latest listed of a service's servers at this server's address as superseded.
     void supersede(Schema::BackendServer const&, FactChanges&);
     /// Clears the address of a removed server, so that it is compared with the other servers again if it returns.
-    void forget_place(std::string const& id);
+    void clear_service_address(std::string const& id);
     /// Clears every supersession that involves a server whose address changed, as it depended on the former address.
-    void give_back(std::string const& id, FactChanges&);
+    void clear_supersessions(std::string const& id, FactChanges&);
 
     std::map<Key, Fact> m_facts;
     std::shared_ptr<Schema::RoutingConfiguration const> m_configuration;
--- a/Libraries/LibConfiguration/HeldVersion.cpp
+++ b/Libraries/LibConfiguration/HeldVersion.cpp
@@ -5,7 +5,7 @@
 
 namespace Configuration {
 
-int64_t whole_version(std::vector<Schema::HeldLayers> held, int64_t layers)
+int64_t highest_complete_version(std::vector<Schema::HeldLayers> held, int64_t layers)
 {
     std::sort(held.begin(), held.end(), [](auto const& a, auto const& b) { return std::pair(a.version, a.first_layer) < std::pair(b.version, b.first_layer); });
     int64_t best = 0;
--- a/Libraries/LibConfiguration/NamedVersions.h
+++ b/Libraries/LibConfiguration/NamedVersions.h
@@ -26,11 +26,11 @@
     std::optional<Core::Time> remembered {};
 
     /// The best estimate of when the version was named.
-    Core::Time presumed() const { return named.value_or(remembered.value_or(known)); }
+    Core::Time presumed_named_at() const { return named.value_or(remembered.value_or(known)); }
     /// Returns true if the version is known to have been named by the given time.
-    bool is_named_by(Core::Time) const;
-    /// Returns true if the version can have been named by the given time. Always true if no naming time is known.
-    bool may_be_named_by(Core::Time) const;
+    bool was_certainly_named_by(Core::Time) const;
+    /// Returns true if the version can have been named by the given time. Always true if neither `named` nor `remembered` is known.
+    bool may_have_been_named_by(Core::Time) const;
 };
 
 /// The named versions of one model, in ascending order. Each version has its own deadline, so naming a newer version does not
@@ -52,20 +52,20 @@
     /// Returns the version, or null if it is not known.
     NamedVersion const* find(int64_t version) const;
 
-    /// What a call of take() changed.
-    enum class Taken {
-        Nothing,
+    /// What a call of merge() changed.
+    enum class MergeResult {
+        Unchanged,
         /// The version was known, and one of its times changed.
-        Date,
+        TimesChanged,
         /// The version was not known, but a newer one was.
-        EarlierVersion,
-        NewestVersion,
+        EarlierVersionAdded,
+        NewestVersionAdded,
     };
     /// Adds a version, or improves the times of a known one.
-    Taken take(NamedVersion const&);
+    MergeResult merge(NamedVersion const&);
 };
 
 /// Returns the later of two lower bounds of a time; std::nullopt means that a bound is unknown, and the other one is returned.
-std::optional<Core::Time> later_of(std::optional<Core::Time>, std::optional<Core::Time>);
+std::optional<Core::Time> later_lower_bound(std::optional<Core::Time>, std::optional<Core::Time>);
 
 }
--- a/Libraries/LibConfiguration/Fold.cpp
+++ b/Libraries/LibConfiguration/ReplayedState.cpp
@@ -1,5 +1,5 @@
 // SPDX-License-Identifier: BSD-2-Clause
-#include <LibConfiguration/Fold.h>
+#include <LibConfiguration/ReplayedState.h>
 
 #include <LibCore/Hash.h>
 #include <LibSchema/Json.h>
@@ -8,7 +8,7 @@
 
 using Schema::ChangeKind;
 
-void Fold::apply(std::string_view body)
+void ReplayedState::apply(std::string_view body)
 {
     m_offset += 1;
     m_chain = Core::sha256(m_chain + std::string(body));
@@ -17,7 +17,7 @@
         apply_change(*record->change);
 }
 
-void Fold::apply_change(Schema::Change const& change)
+void ReplayedState::apply_change(Schema::Change const& change)
 {
     if (m_outcomes.contains(change.change_id))
         return;
@@ -31,22 +31,22 @@
     outcome.revision = revision;
     if (change.expected_revision != revision) {
         outcome.failure = Schema::Failure::RevisionConflict;
-        remember(std::move(outcome));
+        remember_outcome(std::move(outcome));
         return;
     }
     if (change.operation == Schema::Operation::Delete) {
         m_resources.erase(key);
-        erase_typed(change.kind, change.name);
+        erase_spec(change.kind, change.name);
         outcome.revision = no_revision;
-        remember(std::move(outcome));
+        remember_outcome(std::move(outcome));
         return;
     }
     if (!check_spec(change.kind, change.name, change.spec).has_value()) {
         outcome.failure = Schema::Failure::InvalidSpec;
-        remember(std::move(outcome));
+        remember_outcome(std::move(outcome));
         return;
     }
-    store_typed(change.kind, change.name, change.spec);
+    store_spec(change.kind, change.name, change.spec);
     Resource resource;
     resource.kind = change.kind;
     resource.name = change.name;
@@ -54,15 +54,15 @@
     resource.spec = change.spec;
     m_resources[key] = std::move(resource);
     outcome.revision = m_offset;
-    remember(std::move(outcome));
+    remember_outcome(std::move(outcome));
 }
 
-void Fold::remember(ChangeOutcome outcome)
+void ReplayedState::remember_outcome(ChangeOutcome outcome)
 {
     m_outcome_order.push_back(outcome.change_id);
     auto id = outcome.change_id;
     m_outcomes.emplace(std::move(id), std::move(outcome));
-    if (m_outcome_order.size() <= remembered_outcomes)
+    if (m_outcome_order.size() <= max_remembered_outcomes)
         return;
     m_outcomes.erase(m_outcome_order.front());
     m_outcome_order.pop_front();
@@ -78,7 +78,7 @@
     return true;
 }
 
-bool Fold::store_typed(ChangeKind kind, std::string const& name, std::string const& spec)
+bool ReplayedState::store_spec(ChangeKind kind, std::string const& name, std::string const& spec)
 {
     switch (kind) {
     case ChangeKind::Version:
@@ -93,7 +93,7 @@
     return false;
 }
 
-void Fold::erase_typed(ChangeKind kind, std::string const& name)
+void ReplayedState::erase_spec(ChangeKind kind, std::string const& name)
 {
     switch (kind) {
     case ChangeKind::Version:
@@ -111,7 +111,7 @@
     }
 }
 
-Schema::FoldState Fold::state() const
+Schema::FoldState ReplayedState::snapshot_state() const
 {
     Schema::FoldState state;
     state.offset = m_offset;
@@ -123,29 +123,29 @@
     return state;
 }
 
-bool Fold::advance_to(Schema::FoldState const& state)
+bool ReplayedState::advance_to(Schema::FoldState const& state)
 {
     if (state.offset <= m_offset)
         return false;
-    *this = Fold();
+    *this = ReplayedState();
     m_offset = state.offset;
     m_chain = state.chain;
     for (auto const& resource : state.resources) {
-        if (store_typed(resource.kind, resource.name, resource.spec))
+        if (store_spec(resource.kind, resource.name, resource.spec))
             m_resources[{ resource.kind, resource.name }] = resource;
     }
     for (auto const& outcome : state.outcomes)
-        remember(outcome);
+        remember_outcome(outcome);
     return true;
 }
 
-Resource const* Fold::find(ChangeKind kind, std::string const& name) const
+Resource const* ReplayedState::find(ChangeKind kind, std::string const& name) const
 {
     auto found = m_resources.find({ kind, name });
     return found == m_resources.end() ? nullptr : &found->second;
 }
 
-std::optional<ChangeOutcome> Fold::outcome(std::string const& change_id) const
+std::optional<ChangeOutcome> ReplayedState::outcome(std::string const& change_id) const
 {
     auto found = m_outcomes.find(change_id);
     if (found == m_outcomes.end())
@@ -153,7 +153,7 @@
     return found->second;
 }
 
-int64_t Fold::rollout_revision(std::string const& name) const
+int64_t ReplayedState::rollout_revision(std::string const& name) const
 {
     auto const* resource = find(ChangeKind::Rollout, name);
     return resource ? resource->revision : no_revision;
@@ -241,17 +241,17 @@
     return hash.finish();
 }
 
-std::optional<Schema::VersionSpec> weights_of(Fold const& fold, Schema::RolloutSpec const& rollout)
+std::optional<Schema::VersionSpec> weights_of(ReplayedState const& replayed_state, Schema::RolloutSpec const& rollout)
 {
-    auto const base = fold.versions().find(version_name(rollout.model, rollout.version));
-    if (base == fold.versions().end())
+    auto const base = replayed_state.versions().find(version_name(rollout.model, rollout.version));
+    if (base == replayed_state.versions().end())
         return {};
     if (!rollout.adapters || rollout.adapters->empty())
         return base->second;
     auto whole = base->second;
     for (auto const& name : *rollout.adapters) {
-        auto const adapter = fold.versions().find(version_name(rollout.model, rollout.version, name));
-        if (adapter == fold.versions().end())
+        auto const adapter = replayed_state.versions().find(version_name(rollout.model, rollout.version, name));
+        if (adapter == replayed_state.versions().end())
             return {};
         whole.chunks.insert(whole.chunks.end(), adapter->second.chunks.begin(), adapter->second.chunks.end());
     }
--- a/Libraries/LibConfiguration/Fold.h
+++ b/Libraries/LibConfiguration/ReplayedState.h
@@ -28,7 +28,7 @@
 ///
 /// A change is accepted only if its expected revision is the current one. Of several changes that expect the same revision the first
 /// in the log is accepted, and every process rejects the others. A record that repeats a known change id has no effect.
-class Fold {
+class ReplayedState {
 public:
     /// Offset of the last applied record, or `no_offset`.
     int64_t offset() const { return m_offset; }
@@ -40,7 +40,7 @@
     void apply(std::string_view body);
 
     /// Returns the whole state in the form that snapshots contain.
-    Schema::FoldState state() const;
+    Schema::FoldState snapshot_state() const;
 
     /// Replaces this state by one from a snapshot, unless the snapshot's offset is not higher than offset().
     /// @return true if the state was replaced.
@@ -50,7 +50,7 @@
     Resource const* find(Schema::ChangeKind, std::string const& name) const;
     std::map<std::pair<Schema::ChangeKind, std::string>, Resource> const& resources() const { return m_resources; }
 
-    /// Returns the outcome of a change, or std::nullopt if it is not among the latest `remembered_outcomes` changes.
+    /// Returns the outcome of a change, or std::nullopt if it is not among the latest `max_remembered_outcomes` changes.
     std::optional<ChangeOutcome> outcome(std::string const& change_id) const;
 
     std::map<std::string, Schema::VersionSpec> const& versions() const { return m_versions; }
@@ -62,15 +62,15 @@
     int64_t rollout_revision(std::string const& name) const;
 
     /// Number of changes whose outcomes are kept: about a day of changes at the scale that the system is designed for.
-    static constexpr size_t remembered_outcomes = 8192;
+    static constexpr size_t max_remembered_outcomes = 8192;
 
 private:
     void apply_change(Schema::Change const&);
-    void remember(ChangeOutcome);
+    void remember_outcome(ChangeOutcome);
     /// Parses a spec and stores it in the map of its kind.
     /// @return false if the spec cannot be parsed.
-    bool store_typed(Schema::ChangeKind, std::string const& name, std::string const& spec);
-    void erase_typed(Schema::ChangeKind, std::string const& name);
+    bool store_spec(Schema::ChangeKind, std::string const& name, std::string const& spec);
+    void erase_spec(Schema::ChangeKind, std::string const& name);
 
     int64_t m_offset { no_offset };
     std::string m_chain;
@@ -96,6 +96,6 @@
 
 /// Returns the weights that an engine must hold for a rollout: the version's chunks, then those of each adapter.
 /// Returns std::nullopt if the version or an adapter that the rollout names does not exist.
-std::optional<Schema::VersionSpec> weights_of(Fold const&, Schema::RolloutSpec const&);
+std::optional<Schema::VersionSpec> weights_of(ReplayedState const&, Schema::RolloutSpec const&);
 
 }
--- a/Libraries/LibConfiguration/Replica.h
+++ b/Libraries/LibConfiguration/Replica.h
@@ -1,7 +1,7 @@
 // SPDX-License-Identifier: BSD-2-Clause
 #pragma once
 
-#include <LibConfiguration/Fold.h>
+#include <LibConfiguration/ReplayedState.h>
 #include <deque>
 #include <vector>
 
@@ -22,7 +22,7 @@
 class Replica {
 public:
     /// The state after the last record that was applied.
-    Fold const& fold() const { return m_fold; }
+    ReplayedState const& replayed_state() const { return m_state; }
 
     /// Returns the offset to read the log from next.
     int64_t next_offset() const;
@@ -58,19 +58,19 @@
     int64_t newest_snapshot_offset() const { return m_newest_snapshot_offset; }
 
 private:
-    void fold_record(Schema::Record const&);
+    void apply_record(Schema::Record const&);
     /// Compares the digest of a snapshot record with the digest of this process at the same offset.
-    void look_for_snapshot(Schema::Record const&);
+    void compare_snapshot_digest(Schema::Record const&);
     /// Restarts from the first usable snapshot in the batch. Records are buffered until one is found.
     bool start_from_snapshot(LogBatch const&);
 
-    Fold m_fold;
-    std::deque<Schema::Record> m_recent;
+    ReplayedState m_state;
+    std::deque<Schema::Record> m_recent_records;
     size_t m_recent_bytes { 0 };
     // Consecutive records that were read while no snapshot to restart from was found.
-    std::vector<Schema::Record> m_waiting;
+    std::vector<Schema::Record> m_buffered_records;
     // The digests after each of the latest records, with their offsets.
-    std::deque<std::pair<int64_t, std::string>> m_chains;
+    std::deque<std::pair<int64_t, std::string>> m_recent_chains;
     uint64_t m_divergences { 0 };
     int64_t m_newest_snapshot_offset { no_offset };
 };
--- a/Libraries/LibConfiguration/SnapshotSchedule.h
+++ b/Libraries/LibConfiguration/SnapshotSchedule.h
@@ -15,26 +15,26 @@
     SnapshotSchedule(Core::Duration retention, uint64_t seed);
 
     /// Restarts the wait after a snapshot record was read, whichever process wrote it.
-    void on_snapshot_seen(Core::Time now);
+    void on_snapshot_read(Core::Time now);
 
     /// Counts a record that is not a snapshot. After `records_between_snapshots` of them a snapshot is due at once.
     void on_record();
 
     /// Returns true if a snapshot is due now. Until one is read, a snapshot is due again after every `retry_interval`.
-    bool take_due(Core::Time now);
+    bool poll_due(Core::Time now);
 
     static constexpr Core::Duration retry_interval { 10000 };
     // More records would take a new reader long to replay, and peers keep only the latest records.
     static constexpr uint64_t records_between_snapshots = 2000;
 
 private:
-    void draw(Core::Time now);
+    void schedule_next(Core::Time now);
 
     Core::Duration m_retention;
     std::mt19937_64 m_random;
     Core::Time m_due { 0 };
-    bool m_is_drawn { false };
-    uint64_t m_records { 0 };
+    bool m_is_scheduled { false };
+    uint64_t m_records_since_snapshot { 0 };
 };
 
 }
--- a/Libraries/LibDistribution/RolloutTally.cpp
+++ b/Libraries/LibDistribution/RolloutTally.cpp
@@ -5,24 +5,24 @@
 
 namespace Distribution {
 
-static int64_t bytes_of(Configuration::Fold const& fold, Schema::RolloutSpec const& spec)
+static int64_t bytes_of(Configuration::ReplayedState const& replayed_state, Schema::RolloutSpec const& spec)
 {
     int64_t bytes = 0;
-    if (auto version = Configuration::weights_of(fold, spec)) {
+    if (auto version = Configuration::weights_of(replayed_state, spec)) {
         for (auto const& chunk : version->chunks)
             bytes += chunk.bytes;
     }
     return bytes;
 }
 
-void RolloutTally::on_configuration(Configuration::Fold const& fold, Core::Time now)
+void RolloutTally::on_configuration(Configuration::ReplayedState const& replayed_state, Core::Time now)
 {
     m_generation += 1;
-    std::erase_if(m_rollouts, [&](auto const& entry) { return !fold.rollouts().contains(entry.first); });
-    for (auto const& [name, spec] : fold.rollouts()) {
+    std::erase_if(m_rollouts, [&](auto const& entry) { return !replayed_state.rollouts().contains(entry.first); });
+    for (auto const& [name, spec] : replayed_state.rollouts()) {
         auto& rollout = m_rollouts[name];
-        rollout.version_bytes = bytes_of(fold, spec);
-        auto const revision = fold.rollout_revision(name);
+        rollout.version_bytes = bytes_of(replayed_state, spec);
+        auto const revision = replayed_state.rollout_revision(name);
         if (rollout.revision == revision)
             continue;
         auto const version_bytes = rollout.version_bytes;
--- a/Libraries/LibDistribution/RolloutTally.h
+++ b/Libraries/LibDistribution/RolloutTally.h
@@ -1,7 +1,7 @@
 // SPDX-License-Identifier: BSD-2-Clause
 #pragma once
 
-#include <LibConfiguration/Fold.h>
+#include <LibConfiguration/ReplayedState.h>
 #include <LibCore/Time.h>
 #include <LibSchema/Generated.h>
 #include <map>
@@ -15,7 +15,7 @@
 class RolloutTally {
 public:
     /// The configuration moved on: the time of acceptance of new revisions is taken here.
-    void on_configuration(Configuration::Fold const&, Core::Time now);
+    void on_configuration(Configuration::ReplayedState const&, Core::Time now);
 
     void on_report(std::string const& instance, int64_t incarnation, Schema::Report const&, Core::Time now);
     /// The instance no longer answers. The bytes that it read stay counted.
--- a/Libraries/LibDistribution/StagedLoad.cpp
+++ b/Libraries/LibDistribution/StagedLoad.cpp
@@ -64,7 +64,7 @@
     if (report.started_at_ms)
         m_started_at_ms = report.started_at_ms;
     // One that holds a newer version has been told of it by somebody: it is never turned back.
-    m_is_serving = Configuration::whole_version(report.held, layers) >= m_version;
+    m_is_serving = Configuration::highest_complete_version(report.held, layers) >= m_version;
     if (m_is_serving || has_answered)
         m_ordered_at.reset();
 }
--- a/Libraries/LibMembership/KeyHome.cpp
+++ b/Libraries/LibMembership/IdempotencyKeyOwner.cpp
@@ -1,5 +1,5 @@
 // SPDX-License-Identifier: BSD-2-Clause
-#include <LibMembership/KeyHome.h>
+#include <LibMembership/IdempotencyKeyOwner.h>
 
 #include <LibCore/Hash.h>
 #include <algorithm>
@@ -28,7 +28,7 @@
     return position == 8 || position == 13 || position == 18 || position == 23;
 }
 
-std::optional<Core::WallTime> made_at(std::string const& uuid)
+std::optional<Core::WallTime> uuid_creation_time(std::string const& uuid)
 {
     if (uuid.size() != uuid_characters)
         return {};
@@ -52,7 +52,7 @@
     return Core::WallTime(milliseconds);
 }
 
-std::string make_key(Core::WallTime time, std::mt19937_64& random)
+std::string make_uuid_v7(Core::WallTime time, std::mt19937_64& random)
 {
     static constexpr uint64_t time_mask = 0xffffffffffff;
     static constexpr uint64_t variant_bits = 0x8000000000000000;
@@ -63,7 +63,7 @@
     return text.data();
 }
 
-std::string home_of(std::string const& key, std::vector<std::string> const& agents)
+std::string owner_of_key(std::string const& key, std::vector<std::string> const& agents)
 {
     std::string const* best = nullptr;
     uint64_t best_score = 0;
@@ -77,7 +77,7 @@
     return best ? *best : std::string();
 }
 
-KeyHome::KeyHome(std::string self, std::string service, KeyHomeSettings settings, Core::WallTime started_at)
+IdempotencyKeyOwner::IdempotencyKeyOwner(std::string self, std::string service, IdempotencyKeyOwnerSettings settings, Core::WallTime started_at)
     : m_self(std::move(self))
     , m_service(std::move(service))
     , m_settings(settings)
@@ -85,7 +85,7 @@
 {
 }
 
-void KeyHome::on_list(InstanceList const& list, Core::WallTime wall_now)
+void IdempotencyKeyOwner::on_list(InstanceList const& list, Core::WallTime wall_now)
 {
     if (list.version() <= m_list_version)
         return;
@@ -95,71 +95,71 @@
     // The lease covered the older list only.
     m_lease_from.reset();
     auto agents = list.live_agents(m_service);
-    if (follows && !m_eras.empty() && m_eras.back().agents == agents)
+    if (follows && !m_periods.empty() && m_periods.back().agents == agents)
         return;
-    m_eras.push_back({ wall_now, std::move(agents), follows });
-    // Drops the eras that ended before the oldest key that is still accepted was made.
-    while (m_eras.size() > 1 && m_eras[1].since + m_settings.key_lifetime < wall_now)
-        m_eras.pop_front();
+    m_periods.push_back({ wall_now, std::move(agents), follows });
+    // Drops the periods that ended before the oldest key that is still accepted was made.
+    while (m_periods.size() > 1 && m_periods[1].since + m_settings.key_lifetime < wall_now)
+        m_periods.pop_front();
 }
 
-void KeyHome::on_pong(Core::Time sent_at, int64_t list_version, bool is_confirmed, std::optional<Core::WallTime> set_since)
+void IdempotencyKeyOwner::on_pong(Core::Time sent_at, int64_t list_version, bool is_confirmed, std::optional<Core::WallTime> agents_unchanged_since)
 {
-    if (list_version != m_list_version || m_eras.empty())
+    if (list_version != m_list_version || m_periods.empty())
         return;
-    if (set_since)
-        m_eras.back().since = std::min(m_eras.back().since, *set_since);
+    if (agents_unchanged_since)
+        m_periods.back().since = std::min(m_periods.back().since, *agents_unchanged_since);
     if (!is_confirmed)
         return;
     if (!m_lease_from || sent_at > *m_lease_from)
         m_lease_from = sent_at;
 }
 
-bool KeyHome::has_lease(Core::Time now) const
+bool IdempotencyKeyOwner::has_lease(Core::Time now) const
 {
     return m_lease_from && now < *m_lease_from + m_settings.lease;
 }
 
-Core::WallTime KeyHome::home_since(std::string const& key) const
+Core::WallTime IdempotencyKeyOwner::owned_since(std::string const& key) const
 {
-    auto since = m_eras.back().since;
-    for (auto era = m_eras.rbegin(); era != m_eras.rend(); ++era) {
-        if (home_of(key, era->agents) != m_self)
+    auto since = m_periods.back().since;
+    for (auto period = m_periods.rbegin(); period != m_periods.rend(); ++period) {
+        if (owner_of_key(key, period->agents) != m_self)
             break;
-        since = era->since;
-        if (!era->follows_previous)
+        since = period->since;
+        if (!period->follows_previous)
             break;
     }
     return since;
 }
 
-std::optional<Schema::Reason> KeyHome::refusal(std::string const& key, Core::Time now, Core::WallTime wall_now) const
+std::optional<Schema::Reason> IdempotencyKeyOwner::refusal(std::string const& key, Core::Time now, Core::WallTime wall_now) const
 {
-    auto const made = made_at(key);
-    if (!made)
+    auto const created = uuid_creation_time(key);
+    if (!created)
         return Schema::Reason::KeyMalformed;
-    if (*made > wall_now + m_settings.clock_bound)
+    if (*created > wall_now + m_settings.max_clock_difference)
         return Schema::Reason::KeyFromFuture;
     if (!has_lease(now))
         return Schema::Reason::LeaseLapsed;
-    if (m_eras.empty() || home_of(key, m_eras.back().agents) != m_self)
+    if (m_periods.empty() || owner_of_key(key, m_periods.back().agents) != m_self)
         return Schema::Reason::NotHome;
-    if (*made + m_settings.key_lifetime < wall_now)
+    if (*created + m_settings.key_lifetime < wall_now)
         return Schema::Reason::KeyTooOld;
-    auto const others_stopped = home_since(key) + 2 * m_settings.lease + m_settings.list_lag;
-    // Requests that ran before this process started are unknown here, because the earlier process kept their outcomes in memory.
-    if (*made <= std::max(others_stopped, m_started_at) + m_settings.clock_bound)
+    auto const others_stopped = owned_since(key) + 2 * m_settings.lease + m_settings.max_list_lag;
+    // Requests that ran before this process started are unknown here: their outcomes were lost with the earlier process.
+    if (*created <= std::max(others_stopped, m_started_at) + m_settings.max_clock_difference)
         return Schema::Reason::KeyBeforeHome;
     return {};
 }
 
-void SetHistory::on_list(InstanceList const& list, Core::WallTime wall_now)
+void AgentSetHistory::on_list(InstanceList const& list, Core::WallTime wall_now)
 {
     bool const follows = list.version() == m_version + 1;
     m_version = list.version();
-    std::map<std::string, Seen> services;
+    std::map<std::string, ServiceAgents> services;
     for (auto const& service : list.services()) {
-        Seen seen { list.live_agents(service), wall_now };
+        ServiceAgents seen { list.live_agents(service), wall_now };
         auto const before = m_services.find(service);
         if (follows && before != m_services.end() && before->second.agents == seen.agents)
             seen.since = before->second.since;
@@ -168,7 +168,7 @@
     m_services = std::move(services);
 }
 
-std::optional<Core::WallTime> SetHistory::since(std::string const& service) const
+std::optional<Core::WallTime> AgentSetHistory::since(std::string const& service) const
 {
     auto const found = m_services.find(service);
     if (found == m_services.end())
--- a/Libraries/LibMembership/LeaveNotice.h
+++ b/Libraries/LibMembership/LeaveAcknowledgements.h
@@ -12,7 +12,7 @@
 ///
 /// A link delivers messages in order: everything that a peer sent before it received the notice arrives before its reply to a ping that
 /// was sent after the notice. Only when that reply arrives has this process received all requests from the peer.
-class LeaveNotice {
+class LeaveAcknowledgements {
 public:
     /// Starts tracking after the notice was sent to all of these peers.
     void begin(std::vector<std::string> const& peers, Core::Time sent_at);
@@ -21,16 +21,16 @@
     void on_pong(std::string const& peer, Core::Time pinged_at);
 
     /// Stops waiting for a peer whose link ended, as nothing more can arrive over it.
-    void on_gone(std::string const& peer) { m_unaware.erase(peer); }
+    void on_peer_link_ended(std::string const& peer) { m_unacknowledged.erase(peer); }
 
     /// Returns true if every peer has received the notice or lost its link.
-    bool is_known_to_all() const { return m_unaware.empty(); }
+    bool is_acknowledged_by_all() const { return m_unacknowledged.empty(); }
     /// Number of peers that have not confirmed yet that they received the notice.
-    size_t unaware_peers() const { return m_unaware.size(); }
+    size_t unacknowledged_peers() const { return m_unacknowledged.size(); }
 
 private:
     Core::Time m_sent_at { 0 };
-    std::set<std::string> m_unaware;
+    std::set<std::string> m_unacknowledged;
 };
 
 }
--- a/Libraries/LibPlacement/Placement.cpp
+++ b/Libraries/LibPlacement/Placement.cpp
@@ -7,7 +7,7 @@
 
 namespace Placement {
 
-std::vector<std::string> place(std::string const& key, size_t replicas, std::vector<Candidate> const& candidates)
+std::vector<std::string> choose_instances(std::string const& key, size_t replicas, std::vector<Candidate> const& candidates)
 {
     std::map<std::string, std::vector<std::string>> by_domain;
     for (auto const& candidate : candidates)
@@ -45,21 +45,21 @@
     return std::find(rollout.services.begin(), rollout.services.end(), instance.service) != rollout.services.end();
 }
 
-Assignment assign(Configuration::Fold const& fold, Membership::InstanceList const& list)
+Assignment assign(Configuration::ReplayedState const& replayed_state, Membership::InstanceList const& list)
 {
     Assignment assignment;
-    std::set<std::string> taken;
-    for (auto const& [name, rollout] : fold.rollouts()) {
+    std::set<std::string> assigned;
+    for (auto const& [name, rollout] : replayed_state.rollouts()) {
         std::vector<Candidate> candidates;
         for (auto const& instance : list.members().instances) {
             bool const is_eligible = instance.role == Schema::Role::Agent && instance.state == Schema::InstanceState::Live;
-            if (!is_eligible || taken.contains(instance.id))
+            if (!is_eligible || assigned.contains(instance.id))
                 continue;
             if (serves(instance, rollout) && is_in_places(instance, rollout))
                 candidates.push_back({ instance.id, instance.failure_domain });
         }
-        auto chosen = place(name, static_cast<size_t>(rollout.replicas), candidates);
-        taken.insert(chosen.begin(), chosen.end());
+        auto chosen = choose_instances(name, static_cast<size_t>(rollout.replicas), candidates);
+        assigned.insert(chosen.begin(), chosen.end());
         assignment[name] = std::move(chosen);
     }
     return assignment;
--- a/Libraries/LibRouting/Admission.cpp
+++ b/Libraries/LibRouting/Admission.cpp
@@ -31,7 +31,7 @@
     return !dispatch.version || view.serving->version == *dispatch.version;
 }
 
-AdmissionResult admit(Schema::Dispatch const& dispatch, AdmissionView const& view, Membership::KeyHome const& home, OnceTable& table)
+AdmissionResult admit(Schema::Dispatch const& dispatch, AdmissionView const& view, Membership::IdempotencyKeyOwner const& home, OnceTable& table)
 {
     if (dispatch.key) {
         // What ran before is answered even by an agent that takes no new work.
--- a/Libraries/LibRouting/Admission.h
+++ b/Libraries/LibRouting/Admission.h
@@ -2,7 +2,7 @@
 #pragma once
 
 #include <LibCore/Time.h>
-#include <LibMembership/KeyHome.h>
+#include <LibMembership/IdempotencyKeyOwner.h>
 #include <LibRouting/OnceTable.h>
 #include <LibSchema/Generated.h>
 #include <optional>
@@ -43,6 +43,6 @@
 };
 
 /// Decides about a dispatch at the moment when it would go to the backend server. A key that is admitted is noted first.
-AdmissionResult admit(Schema::Dispatch const&, AdmissionView const&, Membership::KeyHome const&, OnceTable&);
+AdmissionResult admit(Schema::Dispatch const&, AdmissionView const&, Membership::IdempotencyKeyOwner const&, OnceTable&);
 
 }
--- a/Libraries/LibRouting/ServerTable.cpp
+++ b/Libraries/LibRouting/ServerTable.cpp
@@ -62,7 +62,7 @@
 {
     auto held = entry.held;
     std::erase_if(held, [&](auto const& part) { return part.model != timing.model; });
-    return Configuration::whole_version(std::move(held), timing.layers.value_or(0));
+    return Configuration::highest_complete_version(std::move(held), timing.layers.value_or(0));
 }
 
 void ServerTable::set_server(Schema::BackendServer const& entry, Core::Time now)
--- a/Services/Agent/Agent.cpp
+++ b/Services/Agent/Agent.cpp
@@ -36,12 +36,12 @@
 static constexpr int status_not_found = 404;
 static constexpr std::string_view chunk_path = "/chunks/";
 
-static Membership::KeyHomeSettings key_home_settings(Schema::AgentSettings const& settings)
+static Membership::IdempotencyKeyOwnerSettings key_home_settings(Schema::AgentSettings const& settings)
 {
     return {
         .lease = Settings::duration_or(settings.lease_ms, default_lease),
-        .list_lag = Settings::duration_or(settings.list_lag_ms, default_list_lag),
-        .clock_bound = Settings::duration_or(settings.clock_bound_ms, default_clock_bound),
+        .max_list_lag = Settings::duration_or(settings.list_lag_ms, default_list_lag),
+        .max_clock_difference = Settings::duration_or(settings.clock_bound_ms, default_clock_bound),
         .key_lifetime = Settings::duration_or(settings.key_lifetime_ms, default_key_lifetime),
     };
 }
@@ -88,7 +88,7 @@
     Transport::LinkOptions options;
     options.identity = { settings.identity, Schema::Role::Agent, Core::wall_now().count() };
     options.keys = std::move(keys);
-    options.offset = [this] { return m_replica.fold().offset(); };
+    options.offset = [this] { return m_replica.replayed_state().offset(); };
     options.list_version = [this] { return m_list.version(); };
     m_hub = std::make_unique<Transport::LinkHub>(loop, std::move(options), link_callbacks());
 
@@ -163,7 +163,7 @@
 void Agent::on_down(std::string const& peer)
 {
     Core::log_event(Core::LogLevel::Debug, "link_down", { { "peer", peer } });
-    m_leave_notice.on_gone(peer);
+    m_leave_notice.on_peer_link_ended(peer);
     m_requests->on_entry_down(peer);
     m_weights->on_peer_down(peer);
 }
@@ -198,10 +198,10 @@
     m_leave_notice.on_pong(entry, Core::Time(pong.sent_at_ms));
     if (pong.demand)
         m_demands[entry] = { Core::monotonic_now(), *pong.demand };
-    std::optional<Core::WallTime> set_since;
+    std::optional<Core::WallTime> agents_unchanged_since;
     if (pong.set_since_ms)
-        set_since = Core::WallTime(*pong.set_since_ms);
-    m_key_home.on_pong(Core::Time(pong.sent_at_ms), pong.list_version, pong.confirmed, set_since);
+        agents_unchanged_since = Core::WallTime(*pong.set_since_ms);
+    m_key_home.on_pong(Core::Time(pong.sent_at_ms), pong.list_version, pong.confirmed, agents_unchanged_since);
 }
 
 void Agent::on_members(Schema::Members members)
@@ -209,18 +209,18 @@
     if (!m_list.update(std::move(members)))
         return;
     m_key_home.on_list(m_list, Core::wall_now());
-    m_weights->update(m_replica.fold(), m_list);
+    m_weights->update(m_replica.replayed_state(), m_list);
     // A new list ended the lease that was for the older one.
     ping();
 }
 
 void Agent::on_configuration()
 {
-    auto const& services = m_replica.fold().services();
+    auto const& services = m_replica.replayed_state().services();
     auto const service = services.find(m_settings.service);
     if (service != services.end() && service->second.max_in_flight_per_instance)
         m_capacity = static_cast<size_t>(*service->second.max_in_flight_per_instance);
-    m_weights->update(m_replica.fold(), m_list);
+    m_weights->update(m_replica.replayed_state(), m_list);
     report_soon();
 }
 
@@ -242,7 +242,7 @@
     report.draining = m_is_draining;
     report.in_flight = static_cast<int64_t>(m_requests->in_flight());
     report.capacity = static_cast<int64_t>(m_capacity);
-    report.offset = m_replica.fold().offset();
+    report.offset = m_replica.replayed_state().offset();
     m_weights->describe(report);
     return report;
 }
@@ -327,7 +327,7 @@
         m_metrics.set("mountbarrow_agent_in_flight", static_cast<double>(m_requests->in_flight()));
         m_metrics.set("mountbarrow_agent_link_bytes", static_cast<double>(m_hub->traffic().sent), "direction=\"sent\"");
         m_metrics.set("mountbarrow_agent_link_bytes", static_cast<double>(m_hub->traffic().received), "direction=\"received\"");
-        m_metrics.set("mountbarrow_agent_configuration_offset", static_cast<double>(m_replica.fold().offset()));
+        m_metrics.set("mountbarrow_agent_configuration_offset", static_cast<double>(m_replica.replayed_state().offset()));
         m_metrics.set("mountbarrow_agent_configuration_divergences", static_cast<double>(m_replica.divergences()));
         exchange->reply(status_ok, { { "Content-Type", "text/plain; version=0.0.4" } }, m_metrics.to_prometheus());
     } else if (path == "/report") {
@@ -363,19 +363,19 @@
 {
     if (waited >= lease())
         return true;
-    return waited >= least_drain && m_leave_notice.is_known_to_all() && !m_hub->has_unsent();
+    return waited >= least_drain && m_leave_notice.is_acknowledged_by_all() && !m_hub->has_unsent();
 }
 
 void Agent::finish_when_idle()
 {
     auto const waited = Core::monotonic_now() - m_draining_since;
     bool const is_out_of_time = waited >= Settings::duration_or(m_settings.drain_ms, default_drain);
-    if (!m_leave_notice.is_known_to_all())
+    if (!m_leave_notice.is_acknowledged_by_all())
         ping();
     if (!is_out_of_time && !(m_requests->is_idle() && has_taken_leave(waited) && m_http->stop_listening()))
         return;
     Core::log_event(is_out_of_time ? Core::LogLevel::Warn : Core::LogLevel::Info, "stopped",
-        { { "unfinished", std::to_string(m_requests->in_flight()) }, { "unaware_entries", std::to_string(m_leave_notice.unaware_peers()) } });
+        { { "unfinished", std::to_string(m_requests->in_flight()) }, { "unaware_entries", std::to_string(m_leave_notice.unacknowledged_peers()) } });
     m_loop.stop();
 }
 
--- a/Services/Agent/Agent.h
+++ b/Services/Agent/Agent.h
@@ -7,8 +7,8 @@
 #include <LibCore/EventLoop.h>
 #include <LibCore/Metrics.h>
 #include <LibMembership/InstanceList.h>
-#include <LibMembership/KeyHome.h>
-#include <LibMembership/LeaveNotice.h>
+#include <LibMembership/IdempotencyKeyOwner.h>
+#include <LibMembership/LeaveAcknowledgements.h>
 #include <LibPlatform/Platform.h>
 #include <LibSchema/Generated.h>
 #include <LibTransport/HttpServer.h>
@@ -55,7 +55,7 @@
     Core::Metrics m_metrics;
     Configuration::Replica m_replica;
     Membership::InstanceList m_list;
-    Membership::KeyHome m_key_home;
+    Membership::IdempotencyKeyOwner m_key_home;
     std::unique_ptr<Platform::Platform> m_platform;
     std::unique_ptr<Transport::LinkHub> m_hub;
     std::unique_ptr<Transport::HttpServer> m_http;
@@ -71,7 +71,7 @@
 
     bool m_is_draining { false };
     Core::Time m_draining_since { 0 };
-    Membership::LeaveNotice m_leave_notice;
+    Membership::LeaveAcknowledgements m_leave_notice;
     Core::Time m_last_entry_seen { 0 };
     bool m_is_reading_platform { false };
     std::unique_ptr<Core::Timer> m_report_timer;
--- a/Services/Agent/RequestRunner.cpp
+++ b/Services/Agent/RequestRunner.cpp
@@ -27,7 +27,7 @@
     return std::any_of(std::begin(names), std::end(names), [&](char const* other) { return strcasecmp(name.c_str(), other) == 0; });
 }
 
-RequestRunner::RequestRunner(Core::EventLoop& loop, RequestRunnerSettings settings, Membership::KeyHome const& home, Core::Metrics& metrics, Send send, View view, SlotFreed slot_freed)
+RequestRunner::RequestRunner(Core::EventLoop& loop, RequestRunnerSettings settings, Membership::IdempotencyKeyOwner const& home, Core::Metrics& metrics, Send send, View view, SlotFreed slot_freed)
     : m_loop(loop)
     , m_settings(std::move(settings))
     , m_home(home)
--- a/Services/Agent/RequestRunner.h
+++ b/Services/Agent/RequestRunner.h
@@ -3,7 +3,7 @@
 
 #include <LibCore/EventLoop.h>
 #include <LibCore/Metrics.h>
-#include <LibMembership/KeyHome.h>
+#include <LibMembership/IdempotencyKeyOwner.h>
 #include <LibRouting/Admission.h>
 #include <LibRouting/AnswerBuffer.h>
 #include <LibRouting/OnceTable.h>
@@ -33,7 +33,7 @@
     /// A slot became free after a request had been refused for want of one.
     using SlotFreed = std::function<void()>;
 
-    RequestRunner(Core::EventLoop&, RequestRunnerSettings, Membership::KeyHome const&, Core::Metrics&, Send, View, SlotFreed);
+    RequestRunner(Core::EventLoop&, RequestRunnerSettings, Membership::IdempotencyKeyOwner const&, Core::Metrics&, Send, View, SlotFreed);
     ~RequestRunner();
 
     void on_dispatch(std::string const& entry, Schema::Dispatch const&);
@@ -76,7 +76,7 @@
 
     Core::EventLoop& m_loop;
     RequestRunnerSettings m_settings;
-    Membership::KeyHome const& m_home;
+    Membership::IdempotencyKeyOwner const& m_home;
     Core::Metrics& m_metrics;
     Send m_send;
     View m_view;
--- a/Services/Agent/WeightsRunner.cpp
+++ b/Services/Agent/WeightsRunner.cpp
@@ -35,11 +35,11 @@
 
 WeightsRunner::~WeightsRunner() = default;
 
-void WeightsRunner::update(Configuration::Fold const& fold, Membership::InstanceList const& list)
+void WeightsRunner::update(Configuration::ReplayedState const& replayed_state, Membership::InstanceList const& list)
 {
     if (!m_settings.has_engine)
         return;
-    auto const assignment = Placement::assign(fold, list);
+    auto const assignment = Placement::assign(replayed_state, list);
     auto const name = Placement::rollout_of(assignment, m_settings.identity);
     if (name.empty()) {
         release();
@@ -48,12 +48,12 @@
         update_neighbours(list);
         return;
     }
-    auto const& spec = fold.rollouts().at(name);
+    auto const& spec = replayed_state.rollouts().at(name);
     m_targets = assignment.at(name);
     m_prefer = spec.prefer.value_or(Schema::Prefer::Time);
-    auto const version = Configuration::weights_of(fold, spec);
+    auto const version = Configuration::weights_of(replayed_state, spec);
     m_is_version_missing = !version.has_value();
-    auto const revision = fold.rollout_revision(name);
+    auto const revision = replayed_state.rollout_revision(name);
     if (m_is_version_missing) {
         // The resource may name a version that is yet to be created: what is served stays.
         m_rollout = name;
@@ -68,7 +68,7 @@
         weights.model = version->model;
         weights.version = version->version;
         weights.digest = version->digest;
-        m_engine.set_wanted(weights, fold.offset());
+        m_engine.set_wanted(weights, replayed_state.offset());
         if (m_transfer && m_transfer->is_complete())
             m_engine.set_complete(version->digest, true);
     }
--- a/Services/Agent/WeightsRunner.h
+++ b/Services/Agent/WeightsRunner.h
@@ -54,7 +54,7 @@
     void set_http_port(uint16_t port) { m_http_port = port; }
 
     /// The configuration or the list changed.
-    void update(Configuration::Fold const&, Membership::InstanceList const&);
+    void update(Configuration::ReplayedState const&, Membership::InstanceList const&);
     void on_tally(Schema::Tally const&);
     void on_peer_up(std::string const& peer);
     void on_peer_down(std::string const& peer);
--- a/Services/DirectEntry/DirectEntry.cpp
+++ b/Services/DirectEntry/DirectEntry.cpp
@@ -480,7 +480,7 @@
         for (auto const& [model, named] : m_facts.replica().versions())
             log_date("version_named", model, named.versions.back(), now);
     }
-    for (auto const& dated : changes.dated_versions) {
+    for (auto const& dated : changes.versions_with_changed_times) {
         if (auto const* known = m_facts.replica().versions().at(dated.model).find(dated.version))
             log_date("version_dated", dated.model, *known, now);
     }
--- a/Services/DirectEntry/EntryFacts.cpp
+++ b/Services/DirectEntry/EntryFacts.cpp
@@ -68,7 +68,7 @@
 void EntryFacts::take_known(std::vector<Configuration::KnownVersion> const& known)
 {
     auto const changes = m_replica.on_known_versions(known, Core::monotonic_now());
-    if (changes.has_any() || !changes.dated_versions.empty())
+    if (changes.has_any() || !changes.versions_with_changed_times.empty())
         on_changed(changes);
 }
 
@@ -79,7 +79,7 @@
 
 void EntryFacts::on_changed(Configuration::FactChanges const& changes)
 {
-    for (auto const& key : changes.older_records) {
+    for (auto const& key : changes.keys_with_older_records) {
         m_metrics.count("mountbarrow_older_records_total");
         Core::log_event(Core::LogLevel::Warn, "older_record", { { "key", key } });
     }
@@ -237,7 +237,7 @@
         m_follower.on_peer_facts(batch_age);
     auto const sent_at = m_pauses.earliest_arrival(now - late_on_link, now);
     auto const changes = m_replica.on_peer(batch, { now, complete_at, sent_at });
-    if (!changes.has_any() && changes.dated_versions.empty())
+    if (!changes.has_any() && changes.versions_with_changed_times.empty())
         return;
     Core::log_event(Core::LogLevel::Info, "facts_from_peer", { { "peer", entry }, { "age_ms", std::to_string(batch_age.count()) }, { "facts", std::to_string(batch.facts.size()) } });
     on_changed(changes);
--- a/Services/DirectEntry/VersionGoals.cpp
+++ b/Services/DirectEntry/VersionGoals.cpp
@@ -38,7 +38,7 @@
         goal.version = found->second.newest();
     if (found != m_facts.versions().end() && !found->second.versions.empty()) {
         auto const& newest = found->second.versions.back();
-        goal.age_ms = (now - newest.presumed()).count();
+        goal.age_ms = (now - newest.presumed_named_at()).count();
     }
     goal.origin_address = origin_address();
     goal.bound_ms = version_bound.count();
--- a/Services/EngineAgent/CopyKeeper.cpp
+++ b/Services/EngineAgent/CopyKeeper.cpp
@@ -143,7 +143,7 @@
 
 int64_t CopyKeeper::serving_version() const
 {
-    return m_report && goal() ? Configuration::whole_version(m_report->held, goal()->layers) : 0;
+    return m_report && goal() ? Configuration::highest_complete_version(m_report->held, goal()->layers) : 0;
 }
 
 bool CopyKeeper::is_busy() const
--- a/Services/Entry/CallerApi.cpp
+++ b/Services/Entry/CallerApi.cpp
@@ -3,7 +3,7 @@
 
 #include "Problems.h"
 #include <LibCore/Log.h>
-#include <LibMembership/KeyHome.h>
+#include <LibMembership/IdempotencyKeyOwner.h>
 #include <LibSchema/Json.h>
 #include <algorithm>
 
@@ -22,13 +22,13 @@
     return "reason=\"" + Schema::enumerator_name(reason) + "\"";
 }
 
-CallerApi::CallerApi(Core::EventLoop& loop, CallerApiSettings settings, Core::Metrics& metrics, Transport::LinkHub& hub, Membership::InstanceList const& list, Configuration::Fold const& fold, IsConfirmed is_configuration_confirmed)
+CallerApi::CallerApi(Core::EventLoop& loop, CallerApiSettings settings, Core::Metrics& metrics, Transport::LinkHub& hub, Membership::InstanceList const& list, Configuration::ReplayedState const& replayed_state, IsConfirmed is_configuration_confirmed)
     : m_loop(loop)
     , m_settings(std::move(settings))
     , m_metrics(metrics)
     , m_hub(hub)
     , m_list(list)
-    , m_fold(fold)
+    , m_fold(replayed_state)
     , m_is_configuration_confirmed(std::move(is_configuration_confirmed))
     , m_table(m_settings.table, m_settings.seed)
     , m_budget(m_settings.retry_ratio)
@@ -221,7 +221,7 @@
     auto needs = context.request.needs;
     needs.excluded = context.flow.excluded();
     if (context.request.dispatch.key) {
-        needs.home = Membership::home_of(*context.request.dispatch.key, m_list.live_agents(needs.service));
+        needs.home = Membership::owner_of_key(*context.request.dispatch.key, m_list.live_agents(needs.service));
         needs.excluded.clear();
     }
     auto const now = Core::monotonic_now();
--- a/Services/Entry/CallerApi.h
+++ b/Services/Entry/CallerApi.h
@@ -2,7 +2,7 @@
 #pragma once
 
 #include "CallerRequest.h"
-#include <LibConfiguration/Fold.h>
+#include <LibConfiguration/ReplayedState.h>
 #include <LibCore/EventLoop.h>
 #include <LibCore/Metrics.h>
 #include <LibMembership/InstanceList.h>
@@ -34,7 +34,7 @@
     /// Whether the configuration is all that is on the log, as read a moment ago.
     using IsConfirmed = std::function<bool()>;
 
-    CallerApi(Core::EventLoop&, CallerApiSettings, Core::Metrics&, Transport::LinkHub&, Membership::InstanceList const&, Configuration::Fold const&, IsConfirmed);
+    CallerApi(Core::EventLoop&, CallerApiSettings, Core::Metrics&, Transport::LinkHub&, Membership::InstanceList const&, Configuration::ReplayedState const&, IsConfirmed);
     ~CallerApi();
 
     void handle(std::shared_ptr<Transport::IngressRequest> const&);
@@ -90,7 +90,7 @@
     Core::Metrics& m_metrics;
     Transport::LinkHub& m_hub;
     Membership::InstanceList const& m_list;
-    Configuration::Fold const& m_fold;
+    Configuration::ReplayedState const& m_fold;
     IsConfirmed m_is_configuration_confirmed;
     Routing::InstanceTable m_table;
     Routing::CustomerLimits m_limits;
--- a/Services/Entry/CallerRequest.cpp
+++ b/Services/Entry/CallerRequest.cpp
@@ -2,7 +2,7 @@
 #include "CallerRequest.h"
 
 #include <LibCore/Hash.h>
-#include <LibMembership/KeyHome.h>
+#include <LibMembership/IdempotencyKeyOwner.h>
 #include <charconv>
 #include <nlohmann/json.hpp>
 
@@ -90,7 +90,7 @@
         is_repeatable = *word == "true";
     }
     if (auto const key = exchange.header("Idempotency-Key")) {
-        if (!Membership::made_at(*key))
+        if (!Membership::uuid_creation_time(*key))
             return tl::unexpected(Schema::Reason::KeyMalformed);
         dispatch.key = *key;
         is_repeatable = false;
--- a/Services/Entry/Entry.cpp
+++ b/Services/Entry/Entry.cpp
@@ -71,10 +71,10 @@
     Transport::LinkOptions options;
     options.identity = { settings.identity, Schema::Role::Entry, incarnation };
     options.keys = std::move(keys);
-    options.offset = [this] { return m_replica.fold().offset(); };
+    options.offset = [this] { return m_replica.replayed_state().offset(); };
     options.list_version = [this] { return m_list.version(); };
     m_hub = std::make_unique<Transport::LinkHub>(loop, std::move(options), link_callbacks());
-    m_callers = std::make_unique<CallerApi>(loop, caller_settings(settings, incarnation), m_metrics, *m_hub, m_list, m_replica.fold(), [this] { return is_configuration_confirmed(); });
+    m_callers = std::make_unique<CallerApi>(loop, caller_settings(settings, incarnation), m_metrics, *m_hub, m_list, m_replica.replayed_state(), [this] { return is_configuration_confirmed(); });
     m_operators = std::make_unique<OperatorApi>(loop, m_metrics, m_replica, m_tally, *m_platform, std::move(tokens), [this] { return is_configuration_confirmed(); });
     m_list_timer = loop.every(Settings::duration_or(settings.list_poll_ms, default_list_poll), [this] { read_list(); });
     m_log_timer = loop.every(Settings::duration_or(settings.log_poll_ms, default_log_poll), [this] { read_log(); });
@@ -163,7 +163,7 @@
 void Entry::on_message(Schema::Hello const& from, Schema::Message const& message)
 {
     m_last_heard[from.identity] = Core::monotonic_now();
-    auto const offset = m_replica.fold().offset();
+    auto const offset = m_replica.replayed_state().offset();
     if (message.ping)
         on_ping(from, *message.ping);
     else if (message.members)
@@ -188,7 +188,7 @@
 /// Whether callers may be sent here: an entry that knows no configuration can only refuse them.
 bool Entry::is_ready() const
 {
-    bool const knows_configuration = m_log_read_at || m_replica.fold().offset() >= 0;
+    bool const knows_configuration = m_log_read_at || m_replica.replayed_state().offset() >= 0;
     return knows_configuration && !m_is_draining;
 }
 
@@ -262,7 +262,7 @@
             m_metrics.count("mountbarrow_entry_platform_failures_total", "call=\"log\"");
             return;
         }
-        auto const previous = m_replica.fold().offset();
+        auto const previous = m_replica.replayed_state().offset();
         for (size_t i = 0; i < batch->records.size(); ++i)
             m_snapshots.on_record();
         if (m_replica.on_log(*batch))
@@ -280,9 +280,9 @@
 {
     if (m_replica.newest_snapshot_offset() != m_known_snapshot) {
         m_known_snapshot = m_replica.newest_snapshot_offset();
-        m_snapshots.on_snapshot_seen(Core::monotonic_now());
+        m_snapshots.on_snapshot_read(Core::monotonic_now());
     }
-    m_tally.on_configuration(m_replica.fold(), Core::monotonic_now());
+    m_tally.on_configuration(m_replica.replayed_state(), Core::monotonic_now());
     for (auto const& message : m_replica.messages_since(previous_offset))
         send_to_agents(message);
     m_callers->update();
@@ -297,7 +297,7 @@
 
 void Entry::send_tallies()
 {
-    for (auto const& [name, spec] : m_replica.fold().rollouts()) {
+    for (auto const& [name, spec] : m_replica.replayed_state().rollouts()) {
         auto ready = m_tally.ready(name);
         auto const told = m_told_ready.find(name);
         if (told != m_told_ready.end() && told->second == ready)
@@ -305,7 +305,7 @@
         Schema::Message message;
         message.tally.emplace();
         message.tally->rollout = name;
-        message.tally->revision = m_replica.fold().rollout_revision(name);
+        message.tally->revision = m_replica.replayed_state().rollout_revision(name);
         message.tally->ready = ready;
         // FIXME: An entry that is linked to a part of a service's agents tallies that part only.
         send_to_agents(message);
@@ -315,8 +315,8 @@
 
 void Entry::write_snapshot_if_due()
 {
-    bool const has_state = m_replica.fold().offset() >= 0;
-    if (!has_state || !m_snapshots.take_due(Core::monotonic_now()))
+    bool const has_state = m_replica.replayed_state().offset() >= 0;
+    if (!has_state || !m_snapshots.poll_due(Core::monotonic_now()))
         return;
     m_metrics.count("mountbarrow_entry_snapshots_total");
     m_platform->append(m_replica.snapshot_record(), [](Core::ErrorOr<int64_t> const&) {
@@ -371,7 +371,7 @@
     m_metrics.set("mountbarrow_entry_links", static_cast<double>(m_last_heard.size()));
     m_metrics.set("mountbarrow_entry_link_bytes", static_cast<double>(m_hub->traffic().sent), "direction=\"sent\"");
     m_metrics.set("mountbarrow_entry_link_bytes", static_cast<double>(m_hub->traffic().received), "direction=\"received\"");
-    m_metrics.set("mountbarrow_entry_configuration_offset", static_cast<double>(m_replica.fold().offset()));
+    m_metrics.set("mountbarrow_entry_configuration_offset", static_cast<double>(m_replica.replayed_state().offset()));
     m_metrics.set("mountbarrow_entry_configuration_divergences", static_cast<double>(m_replica.divergences()));
     exchange.reply(status_ok, { { "Content-Type", "text/plain; version=0.0.4" } }, m_metrics.to_prometheus());
 }
@@ -380,8 +380,8 @@
 {
     nlohmann::json value;
     value["identity"] = m_settings.identity;
-    value["offset"] = m_replica.fold().offset();
-    value["chain"] = m_replica.fold().chain();
+    value["offset"] = m_replica.replayed_state().offset();
+    value["chain"] = m_replica.replayed_state().chain();
     value["list_version"] = m_list.version();
     value["list_confirmed"] = is_list_confirmed();
     value["links"] = m_last_heard.size();
--- a/Services/Entry/Entry.h
+++ b/Services/Entry/Entry.h
@@ -7,7 +7,7 @@
 #include <LibConfiguration/SnapshotSchedule.h>
 #include <LibDistribution/RolloutTally.h>
 #include <LibMembership/InstanceList.h>
-#include <LibMembership/KeyHome.h>
+#include <LibMembership/IdempotencyKeyOwner.h>
 #include <LibPlatform/Platform.h>
 #include <LibTransport/IngressServer.h>
 #include <LibTransport/LinkHub.h>
@@ -57,7 +57,7 @@
     Configuration::Replica m_replica;
     Configuration::SnapshotSchedule m_snapshots;
     Membership::InstanceList m_list;
-    Membership::SetHistory m_set_history;
+    Membership::AgentSetHistory m_set_history;
     Distribution::RolloutTally m_tally;
     std::unique_ptr<Platform::Platform> m_platform;
     std::unique_ptr<Transport::LinkHub> m_hub;
--- a/Services/Entry/OperatorApi.cpp
+++ b/Services/Entry/OperatorApi.cpp
@@ -99,7 +99,7 @@
         return;
     auto const target = exchange->parsed_target();
     auto const least = number(target.query_value("min_revision"));
-    if (least && m_replica.fold().offset() < *least) {
+    if (least && m_replica.replayed_state().offset() < *least) {
         reply_not_yet(*exchange, "This entry has not read that revision yet.");
         return;
     }
@@ -148,9 +148,9 @@
 void OperatorApi::list(Transport::IngressRequest& exchange, Schema::ChangeKind kind)
 {
     nlohmann::json value;
-    value["offset"] = m_replica.fold().offset();
+    value["offset"] = m_replica.replayed_state().offset();
     value["items"] = nlohmann::json::array();
-    for (auto const& [key, resource] : m_replica.fold().resources()) {
+    for (auto const& [key, resource] : m_replica.replayed_state().resources()) {
         if (resource.kind == kind)
             value["items"].push_back(view(resource));
     }
@@ -159,7 +159,7 @@
 
 void OperatorApi::read(Transport::IngressRequest& exchange, Schema::ChangeKind kind, std::string const& name)
 {
-    auto const* resource = m_replica.fold().find(kind, name);
+    auto const* resource = m_replica.replayed_state().find(kind, name);
     if (resource)
         reply_json(exchange, view(*resource));
     else if (!m_is_configuration_confirmed())
@@ -229,7 +229,7 @@
 void OperatorApi::answer_pending()
 {
     m_pending.remove_if([this](auto const& pending) {
-        auto const outcome = m_replica.fold().outcome(pending->change.change_id);
+        auto const outcome = m_replica.replayed_state().outcome(pending->change.change_id);
         if (!outcome)
             return false;
         answer_outcome(*pending, *outcome);
@@ -255,7 +255,7 @@
 
 void OperatorApi::read_change(Transport::IngressRequest& exchange, std::string const& change_id)
 {
-    auto const outcome = m_replica.fold().outcome(change_id);
+    auto const outcome = m_replica.replayed_state().outcome(change_id);
     if (outcome)
         reply_json(exchange, Schema::to_value(*outcome));
     else
@@ -283,7 +283,7 @@
 void OperatorApi::tell(Watch& watch)
 {
     std::set<std::string> present;
-    for (auto const& [key, resource] : m_replica.fold().resources()) {
+    for (auto const& [key, resource] : m_replica.replayed_state().resources()) {
         auto const kind = Schema::enumerator_name(resource.kind);
         bool const is_watched = (watch.kind.empty() || watch.kind == kind) && (watch.name.empty() || watch.name == resource.name);
         if (!is_watched)
@@ -298,18 +298,18 @@
     for (auto const& gone : watch.known) {
         if (present.contains(gone))
             continue;
-        nlohmann::json event { { "type", "deleted" }, { "kind", gone.substr(0, gone.find('/')) }, { "name", gone.substr(gone.find('/') + 1) }, { "revision", m_replica.fold().offset() } };
+        nlohmann::json event { { "type", "deleted" }, { "kind", gone.substr(0, gone.find('/')) }, { "name", gone.substr(gone.find('/') + 1) }, { "revision", m_replica.replayed_state().offset() } };
         watch.exchange->part(event.dump() + "\n");
     }
     watch.known = std::move(present);
-    watch.told_to = std::max(watch.told_to, m_replica.fold().offset());
+    watch.told_to = std::max(watch.told_to, m_replica.replayed_state().offset());
 }
 
 void OperatorApi::tell_status(Watch& watch)
 {
     if (!watch.kind.empty() && watch.kind != "rollout")
         return;
-    for (auto const& [name, spec] : m_replica.fold().rollouts()) {
+    for (auto const& [name, spec] : m_replica.replayed_state().rollouts()) {
         if (!watch.name.empty() && watch.name != name)
             continue;
         auto const status = m_tally.status(name);
--- a/Services/Weights/CopyFetcher.cpp
+++ b/Services/Weights/CopyFetcher.cpp
@@ -1,7 +1,7 @@
 // SPDX-License-Identifier: BSD-2-Clause
 #include "CopyFetcher.h"
 
-#include <LibConfiguration/Fold.h>
+#include <LibConfiguration/ReplayedState.h>
 #include <LibCore/Hash.h>
 #include <LibCore/Log.h>
 #include <algorithm>
--- a/Tests/LibConfiguration/TestFactReplica.cpp
+++ b/Tests/LibConfiguration/TestFactReplica.cpp
@@ -8,13 +8,13 @@
 using namespace Configuration;
 
 /// A read directly after the preceding records, so that new records were written now.
-static ReadTime followed(Core::Time now)
+static ReadTime read_directly(Core::Time now)
 {
     return { now, now };
 }
 
 /// Facts received from a peer by a process that has not read the log itself.
-static ReadTime told_at(Core::Time now)
+static ReadTime received_at(Core::Time now)
 {
     return { now, {} };
 }
@@ -59,7 +59,7 @@
     return { Schema::FactKind::BackendServer, id, revision, Removed {} };
 }
 
-RC_GTEST_PROP(FactReplica, WhateverComesInWhateverOrderNothingMovesBack, ())
+RC_GTEST_PROP(FactReplica, NoUpdateInAnyOrderLowersAVersion, ())
 {
     FactReplica replica;
     int64_t configuration = 0;
@@ -69,12 +69,12 @@
         auto const number = *rc::gen::inRange<int64_t>(1, 20);
         std::vector<Fact> const facts { configuration_fact(number, number * 2), version_fact(number, number * 2 + 1) };
         if (*rc::gen::arbitrary<bool>()) {
-            replica.on_records(FactTopic::Configuration, facts, number * 2 + 2, followed(Core::Time(step)));
+            replica.on_records(FactTopic::Configuration, facts, number * 2 + 2, read_directly(Core::Time(step)));
         } else {
             Schema::FactBatch batch {};
             for (auto const& fact : facts)
                 batch.facts.push_back(to_message(fact));
-            replica.on_peer(batch, told_at(Core::Time(step)));
+            replica.on_peer(batch, received_at(Core::Time(step)));
         }
         RC_ASSERT(replica.configuration()->version >= configuration);
         RC_ASSERT(replica.versions().at("m").newest() >= version);
@@ -83,7 +83,7 @@
     }
 }
 
-RC_GTEST_PROP(FactReplica, APeerThatReadFurtherBringsAnotherUpToDate, ())
+RC_GTEST_PROP(FactReplica, FactsOfAPeerThatReadFurtherBringAReplicaUpToDate, ())
 {
     FactReplica ahead;
     FactReplica behind;
@@ -93,15 +93,15 @@
     for (int64_t i = 0; i < count; ++i) {
         auto const id = "s" + std::to_string(*rc::gen::inRange(0, 4));
         auto const fact = *rc::gen::inRange(0, 3) == 0 ? removed_fact(id, i) : server_fact(id, *rc::gen::arbitrary<bool>(), i);
-        ahead.on_records(FactTopic::BackendServers, { fact }, i + 1, followed(Core::Time(i)));
+        ahead.on_records(FactTopic::BackendServers, { fact }, i + 1, read_directly(Core::Time(i)));
         if (i < split)
-            behind.on_records(FactTopic::BackendServers, { fact }, i + 1, followed(Core::Time(i)));
+            behind.on_records(FactTopic::BackendServers, { fact }, i + 1, read_directly(Core::Time(i)));
         end = i + 1;
     }
     Schema::FactRequest request {};
     request.servers_from = behind.end(FactTopic::BackendServers);
     request.configuration_from = behind.end(FactTopic::Configuration);
-    behind.on_peer(ahead.facts_since(request, Core::Duration(0), Core::Time(100)), told_at(Core::Time(100)));
+    behind.on_peer(ahead.facts_since(request, Core::Duration(0), Core::Time(100)), received_at(Core::Time(100)));
     RC_ASSERT(behind.end(FactTopic::BackendServers) == end);
     auto names = [](FactReplica const& replica) {
         std::map<std::string, bool> result;
@@ -112,7 +112,7 @@
     RC_ASSERT(names(behind) == names(ahead));
 }
 
-RC_GTEST_PROP(FactReplica, WhatAPeerThatStartedLaterTellsHidesNoRemoval, ())
+RC_GTEST_PROP(FactReplica, FactsOfAPeerThatStartedLaterHideNoRemoval, ())
 {
     std::vector<Fact> log;
     std::map<std::string, Fact> listed;
@@ -125,7 +125,7 @@
     auto const split = *rc::gen::inRange<int64_t>(0, count);
     auto const restart = *rc::gen::inRange<int64_t>(split, count);
     FactReplica behind;
-    behind.on_records(FactTopic::BackendServers, std::vector<Fact>(log.begin(), log.begin() + split), split, followed(Core::Time(0)));
+    behind.on_records(FactTopic::BackendServers, std::vector<Fact>(log.begin(), log.begin() + split), split, read_directly(Core::Time(0)));
     for (int64_t i = 0; i < restart; ++i) {
         if (std::holds_alternative<Configuration::Removed>(log[i].value))
             listed.erase(log[i].key);
@@ -137,26 +137,26 @@
     for (auto const& [key, fact] : listed)
         newest.push_back(fact);
     FactReplica started_later;
-    started_later.on_listing(FactTopic::BackendServers, newest, restart, followed(Core::Time(1)));
+    started_later.on_listing(FactTopic::BackendServers, newest, restart, read_directly(Core::Time(1)));
     Schema::FactRequest request {};
     request.servers_from = behind.end(FactTopic::BackendServers);
-    behind.on_peer(started_later.facts_since(request, Core::Duration(0), Core::Time(2)), told_at(Core::Time(2)));
+    behind.on_peer(started_later.facts_since(request, Core::Duration(0), Core::Time(2)), received_at(Core::Time(2)));
     auto const rest = behind.end(FactTopic::BackendServers);
-    behind.on_records(FactTopic::BackendServers, std::vector<Fact>(log.begin() + rest, log.end()), count, followed(Core::Time(3)));
+    behind.on_records(FactTopic::BackendServers, std::vector<Fact>(log.begin() + rest, log.end()), count, read_directly(Core::Time(3)));
     FactReplica complete;
-    complete.on_records(FactTopic::BackendServers, log, count, followed(Core::Time(3)));
+    complete.on_records(FactTopic::BackendServers, log, count, read_directly(Core::Time(3)));
     RC_ASSERT(ids(behind) == ids(complete));
 }
 
 TEST(FactReplica, ARemovalBeforeAPeersListingIsStillReadFromTheLog)
 {
     FactReplica behind;
-    behind.on_records(FactTopic::BackendServers, { server_fact("a", false, 0), server_fact("b", false, 1) }, 2, followed(Core::Time(0)));
+    behind.on_records(FactTopic::BackendServers, { server_fact("a", false, 0), server_fact("b", false, 1) }, 2, read_directly(Core::Time(0)));
     FactReplica started_later;
-    started_later.on_listing(FactTopic::BackendServers, { server_fact("b", true, 3) }, 4, followed(Core::Time(1)));
+    started_later.on_listing(FactTopic::BackendServers, { server_fact("b", true, 3) }, 4, read_directly(Core::Time(1)));
     Schema::FactRequest request {};
     request.servers_from = behind.end(FactTopic::BackendServers);
-    behind.on_peer(started_later.facts_since(request, Core::Duration(0), Core::Time(2)), told_at(Core::Time(2)));
+    behind.on_peer(started_later.facts_since(request, Core::Duration(0), Core::Time(2)), received_at(Core::Time(2)));
     EXPECT_TRUE(behind.server("b")->is_draining);
     EXPECT_EQ(behind.end(FactTopic::BackendServers), 2);
 }
@@ -164,26 +164,26 @@
 TEST(FactReplica, AListingRemovesWhatItDoesNotName)
 {
     FactReplica replica;
-    replica.on_records(FactTopic::BackendServers, { server_fact("a", false, 0), server_fact("b", false, 1) }, 2, followed(Core::Time(0)));
-    auto const changes = replica.on_listing(FactTopic::BackendServers, { server_fact("b", true, 7) }, 8, followed(Core::Time(1)));
+    replica.on_records(FactTopic::BackendServers, { server_fact("a", false, 0), server_fact("b", false, 1) }, 2, read_directly(Core::Time(0)));
+    auto const changes = replica.on_listing(FactTopic::BackendServers, { server_fact("b", true, 7) }, 8, read_directly(Core::Time(1)));
     EXPECT_EQ(replica.server("a"), nullptr);
     EXPECT_TRUE(replica.server("b")->is_draining);
     EXPECT_EQ(changes.servers.size(), 2u);
     EXPECT_EQ(replica.end(FactTopic::BackendServers), 8);
 }
 
-TEST(FactReplica, AHeartbeatThatChangesNothingIsNoChange)
+TEST(FactReplica, AnUnchangedHeartbeatIsNotReportedAsAChange)
 {
     FactReplica replica;
-    replica.on_records(FactTopic::BackendServers, { server_fact("a", false, 0) }, 1, followed(Core::Time(0)));
-    EXPECT_FALSE(replica.on_records(FactTopic::BackendServers, { server_fact("a", false, 1) }, 2, followed(Core::Time(1))).has_any());
+    replica.on_records(FactTopic::BackendServers, { server_fact("a", false, 0) }, 1, read_directly(Core::Time(0)));
+    EXPECT_FALSE(replica.on_records(FactTopic::BackendServers, { server_fact("a", false, 1) }, 2, read_directly(Core::Time(1))).has_any());
 }
 
-TEST(FactReplica, ANewerVersionDoesNotPutOffTheBoundOfAnOlderOne)
+TEST(FactReplica, ANewerVersionDoesNotPostponeTheDeadlineOfAnOlderOne)
 {
     FactReplica replica;
-    replica.on_records(FactTopic::Configuration, { version_fact(2, 0) }, 1, followed(Core::Time(1000)));
-    replica.on_records(FactTopic::Configuration, { version_fact(3, 1) }, 2, followed(Core::Time(5000)));
+    replica.on_records(FactTopic::Configuration, { version_fact(2, 0) }, 1, read_directly(Core::Time(1000)));
+    replica.on_records(FactTopic::Configuration, { version_fact(3, 1) }, 2, read_directly(Core::Time(5000)));
     auto const& versions = replica.versions().at("m");
     auto const late = Core::Time(9000);
     EXPECT_EQ(versions.newest_of(Core::Time(999), late), 0);
@@ -193,17 +193,17 @@
 }
 
 /// Returns everything that a peer with this replica sends to a process that has read nothing.
-static Schema::FactBatch told_by(FactReplica const& peer, Core::Time now)
+static Schema::FactBatch all_facts_of(FactReplica const& peer, Core::Time now)
 {
     return peer.facts_since({ .configuration_from = 0, .servers_from = 0 }, Core::Duration(0), now);
 }
 
-TEST(FactReplica, APeerTellsWhenAVersionWasNamedNotWhenItPassesItOn)
+TEST(FactReplica, APeerSendsTheNamingTimeNotTheTimeOfItsMessage)
 {
     FactReplica peer;
-    peer.on_records(FactTopic::Configuration, { version_fact(2, 0) }, 1, followed(Core::Time(1000)));
+    peer.on_records(FactTopic::Configuration, { version_fact(2, 0) }, 1, read_directly(Core::Time(1000)));
     FactReplica replica;
-    replica.on_peer(told_by(peer, Core::Time(6000)), told_at(Core::Time(6010)));
+    replica.on_peer(all_facts_of(peer, Core::Time(6000)), received_at(Core::Time(6010)));
     auto const& versions = replica.versions().at("m");
     EXPECT_EQ(versions.newest_of(Core::Time(1010), Core::Time(6010)), 2);
     EXPECT_EQ(versions.newest_of(Core::Time(1009), Core::Time(6010)), 0);
@@ -211,80 +211,80 @@
     EXPECT_EQ(versions.newest_of(Core::Time(1010), Core::Time(0)), 2);
 }
 
-TEST(FactReplica, APeerThatCannotDateAVersionDoesNotDateItForOthers)
+TEST(FactReplica, APeerWithoutANamingTimeSendsNone)
 {
     FactReplica peer;
     peer.on_records(FactTopic::Configuration, { version_fact(2, 0) }, 1, { Core::Time(1000), {} });
     FactReplica replica;
-    replica.on_peer(told_by(peer, Core::Time(6000)), told_at(Core::Time(6010)));
+    replica.on_peer(all_facts_of(peer, Core::Time(6000)), received_at(Core::Time(6010)));
     EXPECT_TRUE(replica.versions().at("m").has_undated());
     EXPECT_EQ(replica.versions().at("m").newest_of(Core::Time(0), Core::Time(6010)), 2);
 }
 
-TEST(FactReplica, WhatAPeerCannotDateWasNamedAfterThisOneHadReadWithoutIt)
+TEST(FactReplica, AVersionWithoutANamingTimeWasNamedAfterTheLastReadWithoutIt)
 {
     FactReplica peer;
     // If the peer had known the version for longer, this process's last read of the log would have been incomplete.
     peer.on_records(FactTopic::Configuration, { version_fact(2, 0) }, 1, { Core::Time(5950), {} });
     FactReplica replica;
-    replica.on_peer(told_by(peer, Core::Time(6000)), { Core::Time(6000), Core::Time(5900) });
+    replica.on_peer(all_facts_of(peer, Core::Time(6000)), { Core::Time(6000), Core::Time(5900) });
     EXPECT_FALSE(replica.versions().at("m").has_undated());
     EXPECT_EQ(replica.versions().at("m").newest_of(Core::Time(5899), Core::Time(9000)), 0);
     EXPECT_EQ(replica.versions().at("m").newest_of(Core::Time(5900), Core::Time(9000)), 2);
 }
 
-TEST(FactReplica, OfTwoDatesTheLaterOneHolds)
+TEST(FactReplica, TheLaterOfTwoNamingTimesIsKept)
 {
     FactReplica peer;
-    peer.on_records(FactTopic::Configuration, { version_fact(2, 0) }, 1, followed(Core::Time(5000)));
+    peer.on_records(FactTopic::Configuration, { version_fact(2, 0) }, 1, read_directly(Core::Time(5000)));
     FactReplica replica;
     replica.on_records(FactTopic::Configuration, { version_fact(2, 0) }, 1, { Core::Time(5200), Core::Time(3000) });
-    replica.on_peer(told_by(peer, Core::Time(6000)), told_at(Core::Time(6000)));
+    replica.on_peer(all_facts_of(peer, Core::Time(6000)), received_at(Core::Time(6000)));
     EXPECT_EQ(replica.versions().at("m").newest_of(Core::Time(4999), Core::Time(9000)), 0);
     EXPECT_EQ(replica.versions().at("m").newest_of(Core::Time(5000), Core::Time(9000)), 2);
 }
 
-TEST(FactReplica, APeerTellsOfTheVersionBeforeTheNewestWhoseBoundComesFirst)
+TEST(FactReplica, APeerAlsoSendsTheOlderVersionWithTheEarlierDeadline)
 {
     FactReplica peer;
-    peer.on_records(FactTopic::Configuration, { version_fact(2, 0) }, 1, followed(Core::Time(1000)));
-    peer.on_records(FactTopic::Configuration, { version_fact(3, 1) }, 2, followed(Core::Time(7000)));
+    peer.on_records(FactTopic::Configuration, { version_fact(2, 0) }, 1, read_directly(Core::Time(1000)));
+    peer.on_records(FactTopic::Configuration, { version_fact(3, 1) }, 2, read_directly(Core::Time(7000)));
     FactReplica replica;
-    EXPECT_TRUE(replica.on_peer(told_by(peer, Core::Time(8000)), told_at(Core::Time(8000))).has_versions);
+    EXPECT_TRUE(replica.on_peer(all_facts_of(peer, Core::Time(8000)), received_at(Core::Time(8000))).has_versions);
     auto const& versions = replica.versions().at("m");
     EXPECT_EQ(versions.newest_of(Core::Time(1000), Core::Time(8000)), 2);
     EXPECT_EQ(versions.newest_of(Core::Time(7000), Core::Time(8000)), 3);
     EXPECT_EQ(versions.newest(), 3);
 }
 
-TEST(FactReplica, AVersionThatWasFoundWithoutADateTakesOneFromAPeer)
+TEST(FactReplica, AMissingNamingTimeIsTakenFromAPeer)
 {
     FactReplica peer;
-    peer.on_records(FactTopic::Configuration, { version_fact(2, 0) }, 1, followed(Core::Time(1000)));
+    peer.on_records(FactTopic::Configuration, { version_fact(2, 0) }, 1, read_directly(Core::Time(1000)));
     FactReplica replica;
     replica.on_listing(FactTopic::Configuration, { version_fact(2, 0) }, 1, { Core::Time(2000), {} });
     EXPECT_TRUE(replica.has_undated_versions());
-    EXPECT_FALSE(replica.on_peer(told_by(peer, Core::Time(2500)), told_at(Core::Time(2500))).has_any());
+    EXPECT_FALSE(replica.on_peer(all_facts_of(peer, Core::Time(2500)), received_at(Core::Time(2500))).has_any());
     EXPECT_FALSE(replica.has_undated_versions());
     EXPECT_EQ(replica.versions().at("m").newest_of(Core::Time(999), Core::Time(9000)), 0);
     EXPECT_EQ(replica.versions().at("m").newest_of(Core::Time(1000), Core::Time(9000)), 2);
 }
 
-TEST(FactReplica, ARecordThatNamesAVersionOnceMoreMovesNoDate)
+TEST(FactReplica, ARepeatedRecordOfAVersionChangesNoNamingTime)
 {
     FactReplica replica;
-    replica.on_records(FactTopic::Configuration, { version_fact(2, 0) }, 1, followed(Core::Time(1000)));
-    replica.on_records(FactTopic::Configuration, { version_fact(3, 1) }, 2, followed(Core::Time(5000)));
+    replica.on_records(FactTopic::Configuration, { version_fact(2, 0) }, 1, read_directly(Core::Time(1000)));
+    replica.on_records(FactTopic::Configuration, { version_fact(3, 1) }, 2, read_directly(Core::Time(5000)));
     // Both writes were repeated, and the one of the older version reached the log last.
-    replica.on_records(FactTopic::Configuration, { version_fact(3, 2) }, 3, followed(Core::Time(6000)));
-    replica.on_records(FactTopic::Configuration, { version_fact(2, 3) }, 4, followed(Core::Time(7000)));
+    replica.on_records(FactTopic::Configuration, { version_fact(3, 2) }, 3, read_directly(Core::Time(6000)));
+    replica.on_records(FactTopic::Configuration, { version_fact(2, 3) }, 4, read_directly(Core::Time(7000)));
     auto const& versions = replica.versions().at("m");
     EXPECT_EQ(versions.newest(), 3);
     EXPECT_EQ(versions.newest_of(Core::Time(1000), Core::Time(9000)), 2);
     EXPECT_EQ(versions.newest_of(Core::Time(5000), Core::Time(9000)), 3);
 }
 
-TEST(FactReplica, WhatWasRememberedHoldsAgainstAnOlderRecord)
+TEST(FactReplica, ARecordedVersionIsNotReplacedByAnOlderRecordOfTheLog)
 {
     FactReplica replica;
     replica.on_known_versions({ { .model = "m", .version = 3, .known = Core::Time(1000) } }, Core::Time(9000));
@@ -296,67 +296,67 @@
     EXPECT_EQ(versions.newest_of(Core::Time(1000), Core::Time(0)), 3);
 }
 
-TEST(FactReplica, APeerTellsOfAVersionThatTheLogHasAnOlderRecordOf)
+TEST(FactReplica, APeerSendsAVersionForWhichTheLogHasAnOlderRecord)
 {
     FactReplica peer;
-    peer.on_records(FactTopic::Configuration, { version_fact(3, 1) }, 2, followed(Core::Time(1000)));
-    peer.on_records(FactTopic::Configuration, { version_fact(2, 2) }, 3, followed(Core::Time(2000)));
+    peer.on_records(FactTopic::Configuration, { version_fact(3, 1) }, 2, read_directly(Core::Time(1000)));
+    peer.on_records(FactTopic::Configuration, { version_fact(2, 2) }, 3, read_directly(Core::Time(2000)));
     FactReplica replica;
     replica.on_listing(FactTopic::Configuration, { version_fact(2, 2) }, 3, { Core::Time(9000), {} });
     auto const answer = peer.facts_since({ .configuration_from = replica.end(FactTopic::Configuration), .servers_from = 0 }, Core::Duration(0), Core::Time(9010));
-    EXPECT_TRUE(replica.on_peer(answer, told_at(Core::Time(9010))).has_versions);
+    EXPECT_TRUE(replica.on_peer(answer, received_at(Core::Time(9010))).has_versions);
     EXPECT_EQ(replica.versions().at("m").newest(), 3);
     EXPECT_EQ(replica.versions().at("m").newest_of(Core::Time(1000), Core::Time(0)), 3);
     // The replica sends the version on to others, although it read no record of it in the log.
     FactReplica third;
-    third.on_peer(told_by(replica, Core::Time(9020)), told_at(Core::Time(9020)));
+    third.on_peer(all_facts_of(replica, Core::Time(9020)), received_at(Core::Time(9020)));
     EXPECT_EQ(third.versions().at("m").newest(), 3);
 }
 
-TEST(FactReplica, APeersNewerConfigurationHoldsAgainstAnOlderRecordThatWasWrittenLate)
+TEST(FactReplica, APeersNewerConfigurationReplacesAnOlderRecordOfADelayedWrite)
 {
     FactReplica peer;
-    peer.on_records(FactTopic::Configuration, { configuration_fact(6, 1) }, 2, followed(Core::Time(1000)));
-    peer.on_records(FactTopic::Configuration, { configuration_fact(3, 2) }, 3, followed(Core::Time(2000)));
+    peer.on_records(FactTopic::Configuration, { configuration_fact(6, 1) }, 2, read_directly(Core::Time(1000)));
+    peer.on_records(FactTopic::Configuration, { configuration_fact(3, 2) }, 3, read_directly(Core::Time(2000)));
     EXPECT_EQ(peer.configuration()->version, 6);
     FactReplica replica;
     replica.on_listing(FactTopic::Configuration, { configuration_fact(3, 2) }, 3, { Core::Time(9000), {} });
-    EXPECT_TRUE(replica.on_peer(told_by(peer, Core::Time(9010)), told_at(Core::Time(9010))).has_configuration);
+    EXPECT_TRUE(replica.on_peer(all_facts_of(peer, Core::Time(9010)), received_at(Core::Time(9010))).has_configuration);
     EXPECT_EQ(replica.configuration()->version, 6);
     EXPECT_EQ(replica.end(FactTopic::Configuration), 3);
 }
 
-TEST(FactReplica, AGuessOfWhenAVersionWasNamedYieldsToWhoKnewOfItBefore)
+TEST(FactReplica, AnEstimatedNamingTimeYieldsToAPeersEarlierKnowledge)
 {
     FactReplica peer;
-    peer.on_records(FactTopic::Configuration, { version_fact(2, 0) }, 1, followed(Core::Time(1000)));
+    peer.on_records(FactTopic::Configuration, { version_fact(2, 0) }, 1, read_directly(Core::Time(1000)));
     // A process that was cut off estimates that the version was named after its last failed read.
     FactReplica cut_off;
     cut_off.on_records(FactTopic::Configuration, { version_fact(2, 0) }, 1, { Core::Time(20000), Core::Time(19000) });
     EXPECT_EQ(cut_off.versions().at("m").newest_of(Core::Time(13500), Core::Time(20000)), 0);
-    cut_off.on_peer(told_by(peer, Core::Time(20500)), told_at(Core::Time(20500)));
+    cut_off.on_peer(all_facts_of(peer, Core::Time(20500)), received_at(Core::Time(20500)));
     EXPECT_EQ(cut_off.versions().at("m").newest_of(Core::Time(1000), Core::Time(0)), 2);
     // A third process that requests facts from the process that estimated gets the correct time.
     FactReplica third;
-    third.on_peer(told_by(cut_off, Core::Time(21000)), told_at(Core::Time(21000)));
+    third.on_peer(all_facts_of(cut_off, Core::Time(21000)), received_at(Core::Time(21000)));
     EXPECT_EQ(third.versions().at("m").newest_of(Core::Time(1000), Core::Time(0)), 2);
 }
 
-TEST(FactReplica, APeerTellsOfAConfigurationThatTheLogHasAnOlderRecordOf)
+TEST(FactReplica, APeerSendsAConfigurationForWhichTheLogHasAnOlderRecord)
 {
     FactReplica peer;
-    peer.on_records(FactTopic::Configuration, { configuration_fact(6, 1) }, 2, followed(Core::Time(1000)));
+    peer.on_records(FactTopic::Configuration, { configuration_fact(6, 1) }, 2, read_directly(Core::Time(1000)));
     // The delayed write of an older configuration reached the log.
-    peer.on_records(FactTopic::Configuration, { configuration_fact(3, 2) }, 3, followed(Core::Time(2000)));
+    peer.on_records(FactTopic::Configuration, { configuration_fact(3, 2) }, 3, read_directly(Core::Time(2000)));
     ASSERT_EQ(peer.configuration()->version, 6);
     FactReplica started_later;
     started_later.on_listing(FactTopic::Configuration, { configuration_fact(3, 2) }, 3, { Core::Time(9000), {} });
     auto const answer = peer.facts_since({ .configuration_from = started_later.end(FactTopic::Configuration), .servers_from = 0 }, Core::Duration(0), Core::Time(9010));
-    started_later.on_peer(answer, told_at(Core::Time(9010)));
+    started_later.on_peer(answer, received_at(Core::Time(9010)));
     EXPECT_EQ(started_later.configuration()->version, 6);
 }
 
-TEST(FactReplica, AServerThatDrainsIsNotReadyAgainByAHeartbeatThatWasCarriedOutLate)
+TEST(FactReplica, ADelayedHeartbeatDoesNotMakeADrainingServerReady)
 {
     auto heartbeat = [](bool is_draining, int64_t revision) {
         auto fact = server_fact("s", is_draining, revision);
@@ -365,13 +365,13 @@
         return fact;
     };
     FactReplica replica;
-    replica.on_records(FactTopic::BackendServers, { heartbeat(false, 0), heartbeat(true, 1) }, 2, followed(Core::Time(1000)));
+    replica.on_records(FactTopic::BackendServers, { heartbeat(false, 0), heartbeat(true, 1) }, 2, read_directly(Core::Time(1000)));
     ASSERT_TRUE(replica.server("s")->is_draining);
-    replica.on_records(FactTopic::BackendServers, { heartbeat(false, 2) }, 3, followed(Core::Time(2000)));
+    replica.on_records(FactTopic::BackendServers, { heartbeat(false, 2) }, 3, read_directly(Core::Time(2000)));
     EXPECT_TRUE(replica.server("s")->is_draining);
 }
 
-RC_GTEST_PROP(FactReplica, TheNewestVersionAndWhatIsKnownOfItNeverMoveBack, ())
+RC_GTEST_PROP(FactReplica, TheNewestVersionNeverDecreasesAndKnownTimesNeverIncrease, ())
 {
     FactReplica replica;
     int64_t newest = 0;
@@ -391,14 +391,14 @@
         default: {
             FactReplica peer;
             peer.on_records(FactTopic::Configuration, { version_fact(version, step) }, step + 1, { known, known });
-            replica.on_peer(told_by(peer, now), { now, known });
+            replica.on_peer(all_facts_of(peer, now), { now, known });
         }
         }
         auto const& versions = replica.versions().at("m");
         RC_ASSERT(versions.newest() >= newest);
         newest = versions.newest();
         for (auto const& each : versions.versions) {
-            // `known` is certain and can only move back; `remembered`, which comes from wall clocks, is not checked.
+            // `known` is certain, so it can only move back. `remembered` comes from wall clocks and yields to a better time.
             auto const [before, is_new] = known_before.try_emplace(each.version, each.known);
             RC_ASSERT(is_new || each.known <= before->second);
             RC_ASSERT(each.known <= now);
@@ -411,156 +411,156 @@
 TEST(FactReplica, AFactThatCannotBeReadChangesNothing)
 {
     FactReplica replica;
-    replica.on_records(FactTopic::Configuration, { configuration_fact(3, 0) }, 1, followed(Core::Time(0)));
+    replica.on_records(FactTopic::Configuration, { configuration_fact(3, 0) }, 1, read_directly(Core::Time(0)));
     Schema::FactBatch batch {};
     batch.facts = { { .body = "{\"version\":9}", .key = "config", .kind = Schema::FactKind::Configuration, .revision = 9, .versions = {} } };
-    EXPECT_FALSE(replica.on_peer(batch, told_at(Core::Time(1))).has_any());
+    EXPECT_FALSE(replica.on_peer(batch, received_at(Core::Time(1))).has_any());
     EXPECT_EQ(replica.configuration()->version, 3);
 }
 
-TEST(HeldVersion, OnlyAVersionWithEveryLayerIsWhole)
+TEST(HeldVersion, OnlyAVersionWithEveryLayerIsComplete)
 {
-    EXPECT_EQ(whole_version({}, 16), 0);
-    EXPECT_EQ(whole_version({ { .end_layer = 16, .first_layer = 0, .model = "m", .version = 2 } }, 16), 2);
-    EXPECT_EQ(whole_version({ { .end_layer = 16, .first_layer = 1, .model = "m", .version = 2 } }, 16), 0);
-    EXPECT_EQ(whole_version({ { .end_layer = 8, .first_layer = 0, .model = "m", .version = 2 }, { .end_layer = 16, .first_layer = 8, .model = "m", .version = 3 } }, 16), 0);
-    EXPECT_EQ(whole_version({ { .end_layer = 16, .first_layer = 8, .model = "m", .version = 2 }, { .end_layer = 8, .first_layer = 0, .model = "m", .version = 2 } }, 16), 2);
+    EXPECT_EQ(highest_complete_version({}, 16), 0);
+    EXPECT_EQ(highest_complete_version({ { .end_layer = 16, .first_layer = 0, .model = "m", .version = 2 } }, 16), 2);
+    EXPECT_EQ(highest_complete_version({ { .end_layer = 16, .first_layer = 1, .model = "m", .version = 2 } }, 16), 0);
+    EXPECT_EQ(highest_complete_version({ { .end_layer = 8, .first_layer = 0, .model = "m", .version = 2 }, { .end_layer = 16, .first_layer = 8, .model = "m", .version = 3 } }, 16), 0);
+    EXPECT_EQ(highest_complete_version({ { .end_layer = 16, .first_layer = 8, .model = "m", .version = 2 }, { .end_layer = 8, .first_layer = 0, .model = "m", .version = 2 } }, 16), 2);
 }
 
-TEST(FactReplica, OfTwoIncarnationsAtOneAddressOnlyTheLaterOneIsThere)
+TEST(FactReplica, OnlyTheLaterOfTwoServersAtOneAddressIsReturned)
 {
     FactReplica replica;
-    replica.on_records(FactTopic::BackendServers, { server_at("a:1", "z-old", 10), server_at("b:1", "other", 11) }, 12, followed(Core::Time(0)));
-    auto const changes = replica.on_records(FactTopic::BackendServers, { server_at("a:1", "new", 20) }, 21, followed(Core::Time(0)));
+    replica.on_records(FactTopic::BackendServers, { server_at("a:1", "z-old", 10), server_at("b:1", "other", 11) }, 12, read_directly(Core::Time(0)));
+    auto const changes = replica.on_records(FactTopic::BackendServers, { server_at("a:1", "new", 20) }, 21, read_directly(Core::Time(0)));
     EXPECT_EQ(changes.servers, (std::vector<std::string> { "new", "z-old" }));
     EXPECT_EQ(ids(replica), (std::vector<std::string> { "new", "other" }));
     EXPECT_EQ(replica.server("z-old"), nullptr);
     // A late heartbeat of the earlier incarnation, and then its removal, change nothing.
-    replica.on_records(FactTopic::BackendServers, { server_at("a:1", "z-old", 30) }, 31, followed(Core::Time(0)));
+    replica.on_records(FactTopic::BackendServers, { server_at("a:1", "z-old", 30) }, 31, read_directly(Core::Time(0)));
     EXPECT_EQ(ids(replica), (std::vector<std::string> { "new", "other" }));
-    replica.on_records(FactTopic::BackendServers, { removed_fact("z-old", 40) }, 41, followed(Core::Time(0)));
+    replica.on_records(FactTopic::BackendServers, { removed_fact("z-old", 40) }, 41, read_directly(Core::Time(0)));
     EXPECT_EQ(ids(replica), (std::vector<std::string> { "new", "other" }));
 }
 
-TEST(FactReplica, AListingThatNamesBothIncarnationsKeepsTheLaterOneWhateverItsKey)
+TEST(FactReplica, AListingOfTwoServersAtOneAddressKeepsTheLaterOneWhateverItsKey)
 {
     FactReplica replica;
-    replica.on_listing(FactTopic::BackendServers, { server_at("a:1", "a-new", 20), server_at("a:1", "z-old", 10) }, 30, followed(Core::Time(0)));
+    replica.on_listing(FactTopic::BackendServers, { server_at("a:1", "a-new", 20), server_at("a:1", "z-old", 10) }, 30, read_directly(Core::Time(0)));
     EXPECT_EQ(ids(replica), (std::vector<std::string> { "a-new" }));
 }
 
-TEST(FactReplica, AnIncarnationThatEndedBeforeItsAddressWasTakenDoesNotComeBackBesideTheNext)
+TEST(FactReplica, AServerThatWasRemovedBeforeItsAddressWasReusedDoesNotReturn)
 {
     FactReplica replica;
-    replica.on_records(FactTopic::BackendServers, { server_at("a:1", "old", 10), removed_fact("old", 15), server_at("a:1", "new", 20) }, 21, followed(Core::Time(0)));
-    replica.on_records(FactTopic::BackendServers, { server_at("a:1", "old", 30) }, 31, followed(Core::Time(0)));
+    replica.on_records(FactTopic::BackendServers, { server_at("a:1", "old", 10), removed_fact("old", 15), server_at("a:1", "new", 20) }, 21, read_directly(Core::Time(0)));
+    replica.on_records(FactTopic::BackendServers, { server_at("a:1", "old", 30) }, 31, read_directly(Core::Time(0)));
     EXPECT_EQ(ids(replica), (std::vector<std::string> { "new" }));
 }
 
-static Fact born(int64_t started_at_ms, Fact fact)
+static Fact with_start(int64_t started_at_ms, Fact fact)
 {
     std::get<Schema::BackendServer>(fact.value).started_at_ms = started_at_ms;
     return fact;
 }
 
-static FactChanges take_server(FactReplica& replica, Fact const& fact)
+static FactChanges apply_server_record(FactReplica& replica, Fact const& fact)
 {
-    return replica.on_records(FactTopic::BackendServers, { fact }, fact.revision + 1, followed(Core::Time(0)));
+    return replica.on_records(FactTopic::BackendServers, { fact }, fact.revision + 1, read_directly(Core::Time(0)));
 }
 
-TEST(FactReplica, AnOlderIncarnationsLateRecordChangesNothing)
+TEST(FactReplica, ALateRecordOfAnOlderIncarnationChangesNothing)
 {
     FactReplica replica;
-    take_server(replica, born(1000, server_at("a:1", "s", 1)));
-    EXPECT_EQ(take_server(replica, born(2000, server_at("a:1", "s", 2))).servers, std::vector<std::string> { "s" });
-    EXPECT_FALSE(take_server(replica, born(1000, server_at("a:2", "s", 3))).has_any());
+    apply_server_record(replica, with_start(1000, server_at("a:1", "s", 1)));
+    EXPECT_EQ(apply_server_record(replica, with_start(2000, server_at("a:1", "s", 2))).servers, std::vector<std::string> { "s" });
+    EXPECT_FALSE(apply_server_record(replica, with_start(1000, server_at("a:2", "s", 3))).has_any());
     EXPECT_EQ(replica.server("s")->started_at_ms, 2000);
     EXPECT_EQ(replica.server("s")->address, "a:1");
     // A later record of the current incarnation is applied despite the ignored one.
-    EXPECT_TRUE(take_server(replica, born(2000, server_fact("s", true, 4))).has_any());
+    EXPECT_TRUE(apply_server_record(replica, with_start(2000, server_fact("s", true, 4))).has_any());
 }
 
-TEST(FactReplica, WithinOneIncarnationWhoIsLeavingDoesNotComeBack)
+TEST(FactReplica, WithinOneIncarnationADrainingServerDoesNotBecomeReady)
 {
     FactReplica replica;
-    take_server(replica, born(1000, server_fact("s", false, 1)));
-    take_server(replica, born(1000, server_fact("s", true, 2)));
-    EXPECT_FALSE(take_server(replica, born(1000, server_fact("s", false, 3))).has_any());
+    apply_server_record(replica, with_start(1000, server_fact("s", false, 1)));
+    apply_server_record(replica, with_start(1000, server_fact("s", true, 2)));
+    EXPECT_FALSE(apply_server_record(replica, with_start(1000, server_fact("s", false, 3))).has_any());
     EXPECT_TRUE(replica.server("s")->is_draining);
     // The next incarnation is ready.
-    take_server(replica, born(2000, server_fact("s", false, 4)));
+    apply_server_record(replica, with_start(2000, server_fact("s", false, 4)));
     EXPECT_FALSE(replica.server("s")->is_draining);
 }
 
-TEST(FactReplica, WhoseStateCouldNotBeReadOnceMayBeReadyAgain)
+TEST(FactReplica, AServerWithAnUnreadableStateMayBecomeReadyAgain)
 {
     FactReplica replica;
-    auto unreadable = born(1000, server_fact("s", true, 1));
+    auto unreadable = with_start(1000, server_fact("s", true, 1));
     std::get<Schema::BackendServer>(unreadable.value).unreadable_fields = { "state" };
-    take_server(replica, unreadable);
-    take_server(replica, born(1000, server_fact("s", false, 2)));
+    apply_server_record(replica, unreadable);
+    apply_server_record(replica, with_start(1000, server_fact("s", false, 2)));
     EXPECT_FALSE(replica.server("s")->is_draining);
 }
 
-TEST(FactReplica, WithoutAStartTheOrderOfTheRecordsDecides)
+TEST(FactReplica, WithoutAStartTimeTheOrderOfTheRecordsDecides)
 {
     FactReplica replica;
-    take_server(replica, server_fact("s", true, 1));
-    take_server(replica, server_fact("s", false, 2));
+    apply_server_record(replica, server_fact("s", true, 1));
+    apply_server_record(replica, server_fact("s", false, 2));
     EXPECT_FALSE(replica.server("s")->is_draining);
-    take_server(replica, born(1000, server_fact("s", true, 3)));
-    take_server(replica, server_fact("s", false, 4));
+    apply_server_record(replica, with_start(1000, server_fact("s", true, 3)));
+    apply_server_record(replica, server_fact("s", false, 4));
     EXPECT_FALSE(replica.server("s")->is_draining);
 }
 
-TEST(FactReplica, ARemovalBetweenLetsAClockThatWasSetBackIn)
+TEST(FactReplica, AfterARemovalAnEarlierStartTimeIsAccepted)
 {
     FactReplica replica;
-    take_server(replica, born(2000, server_fact("s", true, 1)));
-    take_server(replica, removed_fact("s", 2));
-    take_server(replica, born(1000, server_fact("s", false, 3)));
+    apply_server_record(replica, with_start(2000, server_fact("s", true, 1)));
+    apply_server_record(replica, removed_fact("s", 2));
+    apply_server_record(replica, with_start(1000, server_fact("s", false, 3)));
     ASSERT_NE(replica.server("s"), nullptr);
     EXPECT_FALSE(replica.server("s")->is_draining);
     // A record that was written before the removal is ignored, however late it arrives.
     Schema::FactBatch batch {};
-    batch.facts = { to_message(born(2000, server_fact("s", true, 1))) };
-    replica.on_peer(batch, told_at(Core::Time(1)));
+    batch.facts = { to_message(with_start(2000, server_fact("s", true, 1))) };
+    replica.on_peer(batch, received_at(Core::Time(1)));
     EXPECT_EQ(replica.server("s")->started_at_ms, 1000);
 }
 
-TEST(FactReplica, AServerWhoseAddressWasTakenStartsAgainUnderItsIdentity)
+TEST(FactReplica, ASupersededServerReturnsWithItsNextIncarnation)
 {
     FactReplica replica;
-    take_server(replica, born(1000, server_at("a:1", "s", 1)));
-    take_server(replica, born(2000, server_at("a:1", "other", 2)));
+    apply_server_record(replica, with_start(1000, server_at("a:1", "s", 1)));
+    apply_server_record(replica, with_start(2000, server_at("a:1", "other", 2)));
     EXPECT_EQ(ids(replica), (std::vector<std::string> { "other" }));
-    take_server(replica, born(1000, server_at("a:1", "s", 3)));
+    apply_server_record(replica, with_start(1000, server_at("a:1", "s", 3)));
     EXPECT_EQ(ids(replica), (std::vector<std::string> { "other" }));
-    EXPECT_TRUE(take_server(replica, born(3000, server_at("a:2", "s", 4))).has_any());
+    EXPECT_TRUE(apply_server_record(replica, with_start(3000, server_at("a:2", "s", 4))).has_any());
     EXPECT_EQ(ids(replica), (std::vector<std::string> { "other", "s" }));
     // The restarted server can itself take over an address.
-    take_server(replica, born(4000, server_at("a:1", "s", 5)));
+    apply_server_record(replica, with_start(4000, server_at("a:1", "s", 5)));
     EXPECT_EQ(ids(replica), (std::vector<std::string> { "s" }));
 }
 
-TEST(FactReplica, APeerThatSawTheNewerIncarnationCorrectsAListingThatEndsWithALateRecord)
+TEST(FactReplica, APeersNewerIncarnationReplacesALateRecordOfAListing)
 {
     FactReplica peer;
-    take_server(peer, born(1000, server_fact("s", false, 1)));
-    take_server(peer, born(2000, server_fact("s", false, 2)));
-    take_server(peer, born(1000, server_fact("s", true, 3)));
+    apply_server_record(peer, with_start(1000, server_fact("s", false, 1)));
+    apply_server_record(peer, with_start(2000, server_fact("s", false, 2)));
+    apply_server_record(peer, with_start(1000, server_fact("s", true, 3)));
     FactReplica replica;
-    replica.on_listing(FactTopic::BackendServers, { born(1000, server_fact("s", true, 3)) }, 4, followed(Core::Time(1)));
-    EXPECT_TRUE(replica.on_peer(told_by(peer, Core::Time(2)), told_at(Core::Time(2))).has_any());
+    replica.on_listing(FactTopic::BackendServers, { with_start(1000, server_fact("s", true, 3)) }, 4, read_directly(Core::Time(1)));
+    EXPECT_TRUE(replica.on_peer(all_facts_of(peer, Core::Time(2)), received_at(Core::Time(2))).has_any());
     EXPECT_EQ(replica.server("s")->started_at_ms, 2000);
     EXPECT_FALSE(replica.server("s")->is_draining);
     // A peer that has read less of the log does not undo the correction.
     Schema::FactBatch behind {};
-    behind.facts = { to_message(born(1000, server_fact("s", true, 3))) };
-    EXPECT_FALSE(replica.on_peer(behind, told_at(Core::Time(3))).has_any());
+    behind.facts = { to_message(with_start(1000, server_fact("s", true, 3))) };
+    EXPECT_FALSE(replica.on_peer(behind, received_at(Core::Time(3))).has_any());
 }
 
-RC_GTEST_PROP(FactReplica, WithoutARemovalNoIncarnationMovesBackAndNoneThatIsLeavingReturns, ())
+RC_GTEST_PROP(FactReplica, WithoutARemovalStartTimesNeverDecreaseAndDrainingIsFinal, ())
 {
     FactReplica replica;
     int64_t newest = 0;
@@ -569,13 +569,13 @@
     for (int step = 0; step < steps; ++step) {
         auto const started = *rc::gen::inRange<int64_t>(1, 5);
         bool const is_leaving = *rc::gen::arbitrary<bool>();
-        auto const fact = born(started, server_fact("s", is_leaving, *rc::gen::inRange<int64_t>(0, 40)));
+        auto const fact = with_start(started, server_fact("s", is_leaving, *rc::gen::inRange<int64_t>(0, 40)));
         if (*rc::gen::arbitrary<bool>()) {
-            take_server(replica, fact);
+            apply_server_record(replica, fact);
         } else {
             Schema::FactBatch batch {};
             batch.facts = { to_message(fact) };
-            replica.on_peer(batch, told_at(Core::Time(step)));
+            replica.on_peer(batch, received_at(Core::Time(step)));
         }
         was_leaving = (started > newest ? false : was_leaving) || (started >= newest && is_leaving);
         newest = std::max(newest, started);
@@ -584,33 +584,33 @@
     }
 }
 
-TEST(FactReplica, HistoryHoldsTheNewerVersionThatAnOlderRecordStandsBehind)
+TEST(FactReplica, HistoryRestoresANewerVersionThatAnOlderRecordFollowed)
 {
     FactReplica replica;
     Core::Time const now { 1000 };
-    replica.on_listing(FactTopic::Configuration, { configuration_fact(4, 8), version_fact(2, 9) }, 10, told_at(now));
-    auto const changes = replica.on_history({ configuration_fact(4, 2), version_fact(3, 6), configuration_fact(7, 7), version_fact(1, 1) }, told_at(now));
+    replica.on_listing(FactTopic::Configuration, { configuration_fact(4, 8), version_fact(2, 9) }, 10, received_at(now));
+    auto const changes = replica.on_history({ configuration_fact(4, 2), version_fact(3, 6), configuration_fact(7, 7), version_fact(1, 1) }, received_at(now));
     EXPECT_TRUE(changes.has_configuration);
     EXPECT_TRUE(changes.has_versions);
-    EXPECT_EQ(changes.older_records.size(), 2u);
+    EXPECT_EQ(changes.keys_with_older_records.size(), 2u);
     EXPECT_EQ(replica.configuration()->version, 7);
     EXPECT_EQ(replica.versions().at("m").newest(), 3);
     EXPECT_EQ(replica.end(FactTopic::Configuration), 10) << "what comes next is read from behind the listing";
 }
 
-TEST(FactReplica, HistoryInItsOrderChangesNothing)
+TEST(FactReplica, HistoryInAscendingOrderChangesNothing)
 {
     FactReplica replica;
     Core::Time const now { 1000 };
-    replica.on_listing(FactTopic::Configuration, { configuration_fact(7, 8), version_fact(3, 9) }, 10, told_at(now));
-    auto const changes = replica.on_history({ configuration_fact(4, 2), version_fact(2, 6) }, told_at(now));
+    replica.on_listing(FactTopic::Configuration, { configuration_fact(7, 8), version_fact(3, 9) }, 10, received_at(now));
+    auto const changes = replica.on_history({ configuration_fact(4, 2), version_fact(2, 6) }, received_at(now));
     EXPECT_FALSE(changes.has_any());
     EXPECT_EQ(replica.configuration()->version, 7);
     EXPECT_EQ(replica.versions().at("m").newest(), 3);
 }
 
 // In whatever order the records of versions and configurations were written, a starting process uses the highest that the log holds.
-RC_GTEST_PROP(FactReplica, AStartGoesByTheHighestOfWhateverTheLogHolds, ())
+RC_GTEST_PROP(FactReplica, AStartingReplicaUsesTheHighestVersionsOfTheLog, ())
 {
     auto const numbers = *rc::gen::nonEmpty(rc::gen::container<std::vector<int64_t>>(rc::gen::inRange<int64_t>(1, 50)));
     std::vector<Fact> history;
@@ -621,8 +621,8 @@
     FactReplica replica;
     Core::Time const now { 1000 };
     std::vector<Fact> const newest { history[history.size() - 2], history.back() };
-    replica.on_listing(FactTopic::Configuration, newest, static_cast<int64_t>(history.size()), told_at(now));
-    replica.on_history(history, told_at(now));
+    replica.on_listing(FactTopic::Configuration, newest, static_cast<int64_t>(history.size()), received_at(now));
+    replica.on_history(history, received_at(now));
     auto const highest = *std::max_element(numbers.begin(), numbers.end());
     RC_ASSERT(replica.configuration()->version == highest);
     RC_ASSERT(replica.versions().at("m").newest() == highest);
--- a/Tests/LibConfiguration/TestFold.cpp
+++ b/Tests/LibConfiguration/TestReplayedState.cpp
@@ -1,5 +1,5 @@
 // SPDX-License-Identifier: BSD-2-Clause
-#include <LibConfiguration/Fold.h>
+#include <LibConfiguration/ReplayedState.h>
 #include <LibSchema/Json.h>
 #include <gtest/gtest.h>
 #include <rapidcheck/gtest.h>
@@ -24,41 +24,41 @@
     return Schema::to_text(record);
 }
 
-TEST(Fold, ALaterChangeToTheSameRevisionLosesEverywhere)
+TEST(ReplayedState, ALaterChangeThatExpectsTheSameRevisionIsRejected)
 {
-    Fold fold;
-    fold.apply(change_record("first", "r", no_revision, 1));
-    fold.apply(change_record("second", "r", no_revision, 2));
-    EXPECT_EQ(fold.rollouts().at("r").replicas, 1);
-    EXPECT_EQ(fold.outcome("second")->failure, Schema::Failure::RevisionConflict);
-    EXPECT_EQ(fold.outcome("second")->revision, 0);
+    ReplayedState replayed_state;
+    replayed_state.apply(change_record("first", "r", no_revision, 1));
+    replayed_state.apply(change_record("second", "r", no_revision, 2));
+    EXPECT_EQ(replayed_state.rollouts().at("r").replicas, 1);
+    EXPECT_EQ(replayed_state.outcome("second")->failure, Schema::Failure::RevisionConflict);
+    EXPECT_EQ(replayed_state.outcome("second")->revision, 0);
 }
 
-TEST(Fold, AnAppendRepeatedAfterALostAnswerIsAppliedOnce)
+TEST(ReplayedState, ARepeatedChangeIsAppliedOnce)
 {
-    Fold fold;
-    fold.apply(change_record("one", "r", no_revision, 1));
-    fold.apply(change_record("gone", "r", 0, 0, true));
-    fold.apply(change_record("one", "r", no_revision, 1));
-    EXPECT_FALSE(fold.rollouts().contains("r"));
-    EXPECT_EQ(fold.outcome("one")->revision, 0);
+    ReplayedState replayed_state;
+    replayed_state.apply(change_record("one", "r", no_revision, 1));
+    replayed_state.apply(change_record("gone", "r", 0, 0, true));
+    replayed_state.apply(change_record("one", "r", no_revision, 1));
+    EXPECT_FALSE(replayed_state.rollouts().contains("r"));
+    EXPECT_EQ(replayed_state.outcome("one")->revision, 0);
 }
 
-TEST(Fold, ARecordThatCannotBeReadFoldsToNothing)
+TEST(ReplayedState, AnUnreadableRecordChangesNoResource)
 {
-    Fold fold;
+    ReplayedState replayed_state;
     for (auto const* body : { "", "{", "[]", R"({"change":{"kind":"nothing"}})", R"({"else":1})" })
-        fold.apply(body);
-    EXPECT_EQ(fold.offset(), 4);
-    EXPECT_TRUE(fold.resources().empty());
+        replayed_state.apply(body);
+    EXPECT_EQ(replayed_state.offset(), 4);
+    EXPECT_TRUE(replayed_state.resources().empty());
 }
 
-TEST(Fold, AnInvalidSpecIsRejectedWithItsReason)
+TEST(ReplayedState, AnInvalidSpecIsRejectedWithItsReason)
 {
-    Fold fold;
-    fold.apply(change_record("bad", "r", no_revision, -1));
-    EXPECT_EQ(fold.outcome("bad")->failure, Schema::Failure::InvalidSpec);
-    EXPECT_TRUE(fold.rollouts().empty());
+    ReplayedState replayed_state;
+    replayed_state.apply(change_record("bad", "r", no_revision, -1));
+    EXPECT_EQ(replayed_state.outcome("bad")->failure, Schema::Failure::InvalidSpec);
+    EXPECT_TRUE(replayed_state.rollouts().empty());
 }
 
 namespace {
@@ -81,55 +81,55 @@
 
 }
 
-RC_GTEST_PROP(Fold, AtMostOneChangeWinsEachRevisionAndNoneReverts, ())
+RC_GTEST_PROP(ReplayedState, AtMostOneChangeIsAcceptedForEachRevision, ())
 {
-    Fold fold;
+    ReplayedState replayed_state;
     std::map<std::pair<std::string, int64_t>, std::string> winners;
     for (auto const& body : racing_changes()) {
         auto const change = *Schema::from_text<Schema::LogRecord>(body)->change;
-        bool const was_decided = fold.outcome(change.change_id).has_value();
-        auto const before = fold.rollout_revision(change.name);
-        fold.apply(body);
-        auto const outcome = fold.outcome(change.change_id);
+        bool const was_decided = replayed_state.outcome(change.change_id).has_value();
+        auto const before = replayed_state.rollout_revision(change.name);
+        replayed_state.apply(body);
+        auto const outcome = replayed_state.outcome(change.change_id);
         RC_ASSERT(outcome.has_value());
         if (was_decided || outcome->failure) {
-            RC_ASSERT(fold.rollout_revision(change.name) == before);
+            RC_ASSERT(replayed_state.rollout_revision(change.name) == before);
             continue;
         }
         RC_ASSERT(change.expected_revision == before);
         // A revision is an offset, so a resource that was deleted and created again never reuses a revision.
-        RC_ASSERT(winners.emplace(std::pair(change.name, fold.offset()), change.change_id).second);
-        auto const after = fold.rollout_revision(change.name);
-        RC_ASSERT(after == fold.offset() || after == no_revision);
+        RC_ASSERT(winners.emplace(std::pair(change.name, replayed_state.offset()), change.change_id).second);
+        auto const after = replayed_state.rollout_revision(change.name);
+        RC_ASSERT(after == replayed_state.offset() || after == no_revision);
     }
 }
 
-RC_GTEST_PROP(Fold, AStateTakenOverContinuesLikeTheFoldItCameFrom, ())
+RC_GTEST_PROP(ReplayedState, AStateRestoredFromASnapshotContinuesLikeTheOriginal, ())
 {
     auto const records = racing_changes();
     auto const cut = *rc::gen::inRange<size_t>(0, records.size());
-    Fold whole;
-    Fold taken_over;
+    ReplayedState whole;
+    ReplayedState taken_over;
     for (size_t i = 0; i < records.size(); ++i) {
         whole.apply(records[i]);
         if (i < cut)
             continue;
         if (i == cut)
-            RC_ASSERT(taken_over.advance_to(*Schema::from_text<Schema::FoldState>(Schema::to_text(whole.state()))));
+            RC_ASSERT(taken_over.advance_to(*Schema::from_text<Schema::FoldState>(Schema::to_text(whole.snapshot_state()))));
         else
             taken_over.apply(records[i]);
     }
-    RC_ASSERT(Schema::to_text(taken_over.state()) == Schema::to_text(whole.state()));
+    RC_ASSERT(Schema::to_text(taken_over.snapshot_state()) == Schema::to_text(whole.snapshot_state()));
 }
 
-TEST(Fold, AServiceCannotTakeThePathsOfTheEntryItself)
+TEST(ReplayedState, AServiceCannotBeNamedLikeAPathOfTheEntry)
 {
     EXPECT_TRUE(check_spec(Schema::ChangeKind::Service, "ledger-api", R"({"kind":"plain"})").has_value());
     for (auto const* name : { "api", "metrics", "healthz", "a/b", "" })
         EXPECT_FALSE(check_spec(Schema::ChangeKind::Service, name, R"({"kind":"plain"})").has_value()) << name;
 }
 
-TEST(Fold, WeightsOfARolloutAreTheVersionThenItsAdapters)
+TEST(ReplayedState, WeightsOfARolloutAreTheVersionThenItsAdapters)
 {
     auto version = [](std::string const& adapter, std::string const& digest) {
         Schema::VersionSpec spec;
@@ -152,15 +152,15 @@
         record.change->spec = Schema::to_text(spec);
         return Schema::to_text(record);
     };
-    Fold fold;
-    fold.apply(version("", "base"));
+    ReplayedState replayed_state;
+    replayed_state.apply(version("", "base"));
     Schema::RolloutSpec rollout;
     rollout.model = "m";
     rollout.version = "v";
     rollout.adapters = { "latvian" };
-    EXPECT_FALSE(weights_of(fold, rollout).has_value());
-    fold.apply(version("latvian", "extra"));
-    auto const weights = weights_of(fold, rollout);
+    EXPECT_FALSE(weights_of(replayed_state, rollout).has_value());
+    replayed_state.apply(version("latvian", "extra"));
+    auto const weights = weights_of(replayed_state, rollout);
     ASSERT_TRUE(weights.has_value());
     EXPECT_EQ(weights->chunks.size(), 2u);
     EXPECT_EQ(weights->digest, weights_digest(weights->chunks));
--- a/Tests/LibConfiguration/TestReplica.cpp
+++ b/Tests/LibConfiguration/TestReplica.cpp
@@ -56,10 +56,10 @@
 
 }
 
-RC_GTEST_PROP(Replica, AReaderThatStartsFromNothingEndsWithTheSameStateThoughRecordsLapsed, ())
+RC_GTEST_PROP(Replica, AReplicaThatStartsLateReachesTheSameStateAlthoughRecordsWereDeleted, ())
 {
     FakeLog log;
-    Replica veteran;
+    Replica long_running;
     auto const changes = *rc::gen::inRange(5, 60);
     auto const page = *rc::gen::inRange<int64_t>(1, 20);
     std::vector<int64_t> snapshots;
@@ -68,26 +68,26 @@
         // A snapshot may be appended after records that its writer has not read yet.
         bool const writes_snapshot = *rc::gen::inRange(0, 8) == 0;
         if (*rc::gen::inRange(0, 3) != 0)
-            read_all(veteran, log, page);
-        if (writes_snapshot && veteran.fold().offset() >= 0) {
-            snapshots.push_back(veteran.fold().offset());
-            log.bodies.push_back(veteran.snapshot_record());
+            read_all(long_running, log, page);
+        if (writes_snapshot && long_running.replayed_state().offset() >= 0) {
+            snapshots.push_back(long_running.replayed_state().offset());
+            log.bodies.push_back(long_running.snapshot_record());
         }
     }
-    read_all(veteran, log, page);
+    read_all(long_running, log, page);
     if (!snapshots.empty()) {
         auto const kept = *rc::gen::elementOf(snapshots);
         log.first_retained = *rc::gen::inRange<int64_t>(0, kept + 2);
     }
-    Replica newcomer;
-    read_all(newcomer, log, page);
-    RC_ASSERT(newcomer.fold().offset() == veteran.fold().offset());
-    RC_ASSERT(Schema::to_text(newcomer.fold().state()) == Schema::to_text(veteran.fold().state()));
-    RC_ASSERT(veteran.divergences() == 0u);
-    RC_ASSERT(newcomer.divergences() == 0u);
+    Replica started_later;
+    read_all(started_later, log, page);
+    RC_ASSERT(started_later.replayed_state().offset() == long_running.replayed_state().offset());
+    RC_ASSERT(Schema::to_text(started_later.replayed_state().snapshot_state()) == Schema::to_text(long_running.replayed_state().snapshot_state()));
+    RC_ASSERT(long_running.divergences() == 0u);
+    RC_ASSERT(started_later.divergences() == 0u);
 }
 
-RC_GTEST_PROP(Replica, WhateverPeersSendItNeverGoesBackAndNeverSkips, ())
+RC_GTEST_PROP(Replica, TheOffsetNeverDecreasesAndNoRecordIsSkipped, ())
 {
     FakeLog log;
     for (int i = 0; i < 40; ++i)
@@ -96,7 +96,7 @@
     auto const steps = *rc::gen::inRange(1, 60);
     for (int step = 0; step < steps; ++step) {
         auto& target = replicas[*rc::gen::inRange<size_t>(0, replicas.size())];
-        auto const before = target.fold().offset();
+        auto const before = target.replayed_state().offset();
         if (*rc::gen::inRange(0, 2) == 0) {
             // A batch read at any offset, as in a delayed response.
             target.on_log(log.read(*rc::gen::inRange<int64_t>(0, 41), *rc::gen::inRange<int64_t>(1, 10)));
@@ -105,15 +105,15 @@
             for (auto const& message : source.messages_since(*rc::gen::inRange<int64_t>(-1, 41)))
                 target.on_message(message);
         }
-        RC_ASSERT(target.fold().offset() >= before);
-        Fold expected;
-        for (int64_t offset = 0; offset <= target.fold().offset(); ++offset)
+        RC_ASSERT(target.replayed_state().offset() >= before);
+        ReplayedState expected;
+        for (int64_t offset = 0; offset <= target.replayed_state().offset(); ++offset)
             expected.apply(log.bodies[static_cast<size_t>(offset)]);
-        RC_ASSERT(target.fold().chain() == expected.chain());
+        RC_ASSERT(target.replayed_state().chain() == expected.chain());
     }
 }
 
-TEST(Replica, ASnapshotWithAnotherDigestIsNoticed)
+TEST(Replica, ASnapshotWithAnotherDigestIsCounted)
 {
     FakeLog log;
     log.add_change(0);
@@ -126,15 +126,15 @@
     EXPECT_EQ(replica.divergences(), 1u);
 }
 
-TEST(SnapshotSchedule, ASnapshotIsDueWellBeforeRetentionAndOneSeenPutsItOff)
+TEST(SnapshotSchedule, ASnapshotIsDueWellBeforeRetentionEndsAndReadingOneRestartsTheWait)
 {
     Core::Duration const retention { 100000 };
     SnapshotSchedule schedule(retention, 1);
-    EXPECT_FALSE(schedule.take_due(Core::Time(0)));
-    schedule.on_snapshot_seen(Core::Time(20000));
-    EXPECT_FALSE(schedule.take_due(Core::Time(20000) + retention / 4 - Core::Duration(1)));
-    EXPECT_TRUE(schedule.take_due(Core::Time(20000) + retention / 2));
+    EXPECT_FALSE(schedule.poll_due(Core::Time(0)));
+    schedule.on_snapshot_read(Core::Time(20000));
+    EXPECT_FALSE(schedule.poll_due(Core::Time(20000) + retention / 4 - Core::Duration(1)));
+    EXPECT_TRUE(schedule.poll_due(Core::Time(20000) + retention / 2));
     // The snapshot was not read back yet, so it is due again after the retry interval.
-    EXPECT_FALSE(schedule.take_due(Core::Time(20001) + retention / 2));
-    EXPECT_TRUE(schedule.take_due(Core::Time(20000) + retention / 2 + SnapshotSchedule::retry_interval));
+    EXPECT_FALSE(schedule.poll_due(Core::Time(20001) + retention / 2));
+    EXPECT_TRUE(schedule.poll_due(Core::Time(20000) + retention / 2 + SnapshotSchedule::retry_interval));
 }
--- a/Tests/LibMembership/TestKeyHome.cpp
+++ b/Tests/LibMembership/TestIdempotencyKeyOwner.cpp
@@ -1,5 +1,5 @@
 // SPDX-License-Identifier: BSD-2-Clause
-#include <LibMembership/KeyHome.h>
+#include <LibMembership/IdempotencyKeyOwner.h>
 #include <gtest/gtest.h>
 #include <rapidcheck/gtest.h>
 
@@ -29,122 +29,122 @@
     return list;
 }
 
-std::string key_made_at(Core::WallTime time, uint64_t seed)
+std::string key_created_at(Core::WallTime time, uint64_t seed)
 {
     std::mt19937_64 random(seed);
-    return make_key(time, random);
+    return make_uuid_v7(time, random);
 }
 
 constexpr Core::WallTime epoch { 1700000000000 };
 
 }
 
-RC_GTEST_PROP(Keys, AMadeKeySaysWhenItWasMade, (uint64_t seed))
+RC_GTEST_PROP(Keys, AUuidContainsItsCreationTime, (uint64_t seed))
 {
     auto const time = Core::WallTime(*rc::gen::inRange<int64_t>(0, int64_t { 1 } << 47));
-    RC_ASSERT(made_at(key_made_at(time, seed)) == time);
+    RC_ASSERT(uuid_creation_time(key_created_at(time, seed)) == time);
 }
 
-RC_GTEST_PROP(Keys, NoTextThatIsNoUuidCrashesOrPasses, (std::string const& text))
+RC_GTEST_PROP(Keys, TextOfAnotherLengthIsRefusedAndNoTextCrashes, (std::string const& text))
 {
     if (text.size() != 36)
-        RC_ASSERT(!made_at(text).has_value());
+        RC_ASSERT(!uuid_creation_time(text).has_value());
     else
-        made_at(text);
+        uuid_creation_time(text);
 }
 
 TEST(Keys, AUuidOfAnotherVersionIsRefused)
 {
-    EXPECT_FALSE(made_at("f81d4fae-7dec-11d0-a765-00a0c91e6bf6").has_value());
-    EXPECT_TRUE(made_at("017f22e2-79b0-7cc3-98c4-dc0c0c07398f").has_value());
+    EXPECT_FALSE(uuid_creation_time("f81d4fae-7dec-11d0-a765-00a0c91e6bf6").has_value());
+    EXPECT_TRUE(uuid_creation_time("017f22e2-79b0-7cc3-98c4-dc0c0c07398f").has_value());
 }
 
 namespace {
 
-class KeyHomeTest : public testing::Test {
+class IdempotencyKeyOwnerTest : public testing::Test {
 protected:
-    KeyHomeSettings settings;
-    KeyHome home { "a", "s", settings, epoch };
+    IdempotencyKeyOwnerSettings settings;
+    IdempotencyKeyOwner owner { "a", "s", settings, epoch };
     Core::Time now { 1000000 };
     Core::WallTime wall { epoch + Core::Duration(1000000) };
-    std::string key = key_made_at(wall, 1);
+    std::string key = key_created_at(wall, 1);
 
     void SetUp() override
     {
-        home.on_list(list_of(1, { "a" }), epoch);
-        home.on_pong(now, 1, true);
+        owner.on_list(list_of(1, { "a" }), epoch);
+        owner.on_pong(now, 1, true);
     }
 };
 
 }
 
-TEST_F(KeyHomeTest, AFreshKeyMayRunUnderALease)
+TEST_F(IdempotencyKeyOwnerTest, ANewKeyMayRunUnderALease)
 {
-    EXPECT_EQ(home.refusal(key, now, wall), std::nullopt);
+    EXPECT_EQ(owner.refusal(key, now, wall), std::nullopt);
 }
 
-TEST_F(KeyHomeTest, APongThatWaitedWhileTheAgentWasPausedGrantsNothing)
+TEST_F(IdempotencyKeyOwnerTest, APongThatWaitedWhileTheAgentWasPausedGrantsNoLease)
 {
-    auto const woken = now + Core::Duration(60000);
-    home.on_pong(now + Core::Duration(10), 1, true);
-    EXPECT_EQ(home.refusal(key, woken, wall), Schema::Reason::LeaseLapsed);
+    auto const resumed_at = now + Core::Duration(60000);
+    owner.on_pong(now + Core::Duration(10), 1, true);
+    EXPECT_EQ(owner.refusal(key, resumed_at, wall), Schema::Reason::LeaseLapsed);
 }
 
-TEST_F(KeyHomeTest, AnUnconfirmedPongOrOneForAnotherListGrantsNothing)
+TEST_F(IdempotencyKeyOwnerTest, AnUnconfirmedPongOrOneForAnotherListGrantsNoLease)
 {
     auto const later = now + settings.lease;
-    home.on_pong(later, 1, false);
-    home.on_pong(later, 0, true);
-    EXPECT_FALSE(home.has_lease(later));
+    owner.on_pong(later, 1, false);
+    owner.on_pong(later, 0, true);
+    EXPECT_FALSE(owner.has_lease(later));
 }
 
-TEST_F(KeyHomeTest, AKeyFromBeforeTheRestartMayHaveRun)
+TEST_F(IdempotencyKeyOwnerTest, AKeyFromBeforeTheRestartMayHaveRun)
 {
-    EXPECT_EQ(home.refusal(key_made_at(epoch - Core::Duration(1000), 1), now, wall - Core::Duration(900000)), Schema::Reason::KeyBeforeHome);
+    EXPECT_EQ(owner.refusal(key_created_at(epoch - Core::Duration(1000), 1), now, wall - Core::Duration(900000)), Schema::Reason::KeyBeforeHome);
 }
 
-TEST_F(KeyHomeTest, AKeyFromTheFutureIsRefused)
+TEST_F(IdempotencyKeyOwnerTest, AKeyFromTheFutureIsRefused)
 {
-    EXPECT_EQ(home.refusal(key_made_at(wall + Core::Duration(60000), 1), now, wall), Schema::Reason::KeyFromFuture);
+    EXPECT_EQ(owner.refusal(key_created_at(wall + Core::Duration(60000), 1), now, wall), Schema::Reason::KeyFromFuture);
 }
 
-TEST_F(KeyHomeTest, ARestartedAgentNeedNotWaitWhereTheSetHasLongBeenTheSame)
+TEST_F(IdempotencyKeyOwnerTest, ARestartedAgentNeedNotWaitIfTheListedAgentsAreUnchanged)
 {
     auto const restarted = wall;
-    KeyHome again("a", "s", settings, restarted);
-    again.on_list(list_of(1, { "a" }), restarted);
-    again.on_pong(now, 1, true);
-    auto const soon = restarted + settings.clock_bound + Core::Duration(1);
-    EXPECT_EQ(again.refusal(key_made_at(soon, 1), now, soon), Schema::Reason::KeyBeforeHome);
-    again.on_pong(now, 1, true, epoch);
-    EXPECT_EQ(again.refusal(key_made_at(soon, 1), now, soon), std::nullopt);
+    IdempotencyKeyOwner restarted_owner("a", "s", settings, restarted);
+    restarted_owner.on_list(list_of(1, { "a" }), restarted);
+    restarted_owner.on_pong(now, 1, true);
+    auto const soon = restarted + settings.max_clock_difference + Core::Duration(1);
+    EXPECT_EQ(restarted_owner.refusal(key_created_at(soon, 1), now, soon), Schema::Reason::KeyBeforeHome);
+    restarted_owner.on_pong(now, 1, true, epoch);
+    EXPECT_EQ(restarted_owner.refusal(key_created_at(soon, 1), now, soon), std::nullopt);
     // The restarted agent does not know which requests ran before the restart.
-    EXPECT_EQ(again.refusal(key_made_at(restarted, 1), now, soon), Schema::Reason::KeyBeforeHome);
+    EXPECT_EQ(restarted_owner.refusal(key_created_at(restarted, 1), now, soon), Schema::Reason::KeyBeforeHome);
 }
 
-TEST_F(KeyHomeTest, AListThatWasSkippedMayHaveNamedAnotherHome)
+TEST_F(IdempotencyKeyOwnerTest, ASkippedListMayHaveNamedAnotherOwner)
 {
     // Version 2 of the list was skipped; it may have left out "a" for a while.
-    home.on_list(list_of(3, { "a" }), wall);
-    home.on_pong(now, 3, true);
-    EXPECT_EQ(home.refusal(key, now, wall), Schema::Reason::KeyBeforeHome);
+    owner.on_list(list_of(3, { "a" }), wall);
+    owner.on_pong(now, 3, true);
+    EXPECT_EQ(owner.refusal(key, now, wall), Schema::Reason::KeyBeforeHome);
 }
 
 namespace {
 
 /// Simulates agents that pause and restart, and entries that see outdated lists, with the class under test. Time is virtual; one step is
 /// 100 ms.
-struct World {
+struct Simulation {
     static constexpr Core::Duration step { 100 };
     struct Entry {
         int64_t version { 1 };
         Core::Time read_at { 0 };
         bool is_cut_off { false };
-        SetHistory history;
+        AgentSetHistory history;
     };
     struct Agent {
         std::string id;
-        std::unique_ptr<KeyHome> home;
+        std::unique_ptr<IdempotencyKeyOwner> owner;
         int64_t version { 0 };
         Core::Duration skew { 0 };
         bool is_paused { false };
@@ -152,12 +152,12 @@
             Core::Time sent_at;
             int64_t version;
             bool is_confirmed;
-            std::optional<Core::WallTime> set_since;
+            std::optional<Core::WallTime> agents_unchanged_since;
         };
         std::optional<Pong> late_pong;
     };
 
-    KeyHomeSettings settings;
+    IdempotencyKeyOwnerSettings settings;
     Core::Time now { 0 };
     std::vector<std::pair<Core::Time, std::vector<std::string>>> published;
     std::vector<Entry> entries { 2 };
@@ -181,7 +181,7 @@
             return;
         // The platform may return any list that was current within the lag.
         for (size_t i = published.size(); i-- > 0;) {
-            bool const may_be_shown = i + 1 == published.size() || published[i + 1].first + settings.list_lag > now;
+            bool const may_be_shown = i + 1 == published.size() || published[i + 1].first + settings.max_list_lag > now;
             if (!may_be_shown)
                 break;
             if (static_cast<int64_t>(i) + 1 < entry.version)
@@ -201,14 +201,14 @@
             return;
         if (entry.version > agent.version) {
             agent.version = entry.version;
-            agent.home->on_list(list_of(entry.version, published[static_cast<size_t>(entry.version) - 1].second), wall(agent));
+            agent.owner->on_list(list_of(entry.version, published[static_cast<size_t>(entry.version) - 1].second), wall(agent));
         }
         bool const is_confirmed = now < entry.read_at + settings.lease;
         Agent::Pong const pong { now, entry.version, is_confirmed, entry.history.since("s") };
         if (*rc::gen::inRange(0, 2) == 0)
             agent.late_pong = pong;
         else
-            agent.home->on_pong(pong.sent_at, pong.version, pong.is_confirmed, pong.set_since);
+            agent.owner->on_pong(pong.sent_at, pong.version, pong.is_confirmed, pong.agents_unchanged_since);
     }
 
     void pong_arrives_late(Agent& agent)
@@ -216,13 +216,13 @@
         if (!agent.late_pong || agent.is_paused)
             return;
         auto const& pong = *agent.late_pong;
-        agent.home->on_pong(pong.sent_at, pong.version, pong.is_confirmed, pong.set_since);
+        agent.owner->on_pong(pong.sent_at, pong.version, pong.is_confirmed, pong.agents_unchanged_since);
         agent.late_pong.reset();
     }
 
     void restart(Agent& agent)
     {
-        agent.home = std::make_unique<KeyHome>(agent.id, "s", settings, wall(agent));
+        agent.owner = std::make_unique<IdempotencyKeyOwner>(agent.id, "s", settings, wall(agent));
         agent.version = 0;
         agent.late_pong.reset();
     }
@@ -230,48 +230,48 @@
 
 }
 
-RC_GTEST_PROP(KeyHome, NoKeyRunsAtTwoAgentsWhateverTheirViews, ())
+RC_GTEST_PROP(IdempotencyKeyOwner, NoKeyRunsAtTwoAgentsWhicheverListsTheySee, ())
 {
-    World world;
+    Simulation simulation;
     for (auto const* id : { "a", "b", "c" }) {
-        world.agents.push_back({ id, nullptr, 0, Core::Duration(*rc::gen::inRange(-250, 251)), false, {} });
-        world.restart(world.agents.back());
+        simulation.agents.push_back({ id, nullptr, 0, Core::Duration(*rc::gen::inRange(-250, 251)), false, {} });
+        simulation.restart(simulation.agents.back());
     }
-    world.published.emplace_back(Core::Time(0), std::vector<std::string> { "a", "b", "c" });
+    simulation.published.emplace_back(Core::Time(0), std::vector<std::string> { "a", "b", "c" });
     std::map<std::string, std::string> ran_at;
     std::map<std::string, std::set<std::string>> known_at;
     std::vector<std::string> keys;
     size_t runs = 0;
     for (int i = 0; i < 400; ++i) {
-        world.now += World::step;
-        auto& entry = world.entries[*rc::gen::inRange<size_t>(0, 2)];
-        auto& agent = world.agents[*rc::gen::inRange<size_t>(0, 3)];
+        simulation.now += Simulation::step;
+        auto& entry = simulation.entries[*rc::gen::inRange<size_t>(0, 2)];
+        auto& agent = simulation.agents[*rc::gen::inRange<size_t>(0, 3)];
         auto const event = *rc::gen::inRange(0, 1000);
         // Changes are rare enough for leases to be renewed between them, and frequent enough for several to overlap.
         if (event < 6)
-            world.publish();
+            simulation.publish();
         else if (event < 16)
             entry.is_cut_off = !entry.is_cut_off;
         else if (event < 26)
             agent.is_paused = !agent.is_paused;
         else if (event < 28) {
             // The outcomes of its requests are lost with the process.
-            world.restart(agent);
+            simulation.restart(agent);
             known_at[agent.id].clear();
         } else if (event < 120) {
             auto const skew = Core::Duration(*rc::gen::inRange(-250, 251));
-            keys.push_back(key_made_at(epoch + world.now + skew, static_cast<uint64_t>(i)));
+            keys.push_back(key_created_at(epoch + simulation.now + skew, static_cast<uint64_t>(i)));
         }
-        for (auto& reading : world.entries)
-            world.entry_reads(reading);
-        world.agent_talks(agent, entry);
-        world.pong_arrives_late(agent);
+        for (auto& reading : simulation.entries)
+            simulation.entry_reads(reading);
+        simulation.agent_talks(agent, entry);
+        simulation.pong_arrives_late(agent);
         // Callers send every key again in each step, to any agent.
         for (auto const& key : keys) {
-            auto& target = world.agents[*rc::gen::inRange<size_t>(0, 3)];
+            auto& target = simulation.agents[*rc::gen::inRange<size_t>(0, 3)];
             if (target.is_paused || known_at[target.id].contains(key))
                 continue;
-            if (target.home->refusal(key, world.now, world.wall(target)))
+            if (target.owner->refusal(key, simulation.now, simulation.wall(target)))
                 continue;
             RC_ASSERT(!ran_at.contains(key));
             ran_at[key] = target.id;
--- a/Tests/LibMembership/TestInstanceList.cpp
+++ b/Tests/LibMembership/TestInstanceList.cpp
@@ -27,7 +27,7 @@
     EXPECT_EQ(list.find("a"), nullptr);
 }
 
-RC_GTEST_PROP(Links, EveryAgentIsLinkedToEnoughEntriesAndNoEntryToFarMoreThanItsShare, ())
+RC_GTEST_PROP(Links, EveryAgentIsLinkedToTheSameSufficientNumberOfEntries, ())
 {
     auto const entries = *rc::gen::inRange<size_t>(1, 30);
     auto const agents = *rc::gen::inRange<size_t>(1, 120);
--- a/Tests/LibPlacement/TestPlacement.cpp
+++ b/Tests/LibPlacement/TestPlacement.cpp
@@ -26,11 +26,11 @@
     return counts;
 }
 
-RC_GTEST_PROP(Place, CopiesSpreadEvenlyAsFarAsDomainsAllow, ())
+RC_GTEST_PROP(Place, CopiesAreSpreadEvenlyAsFarAsDomainsAllow, ())
 {
     auto const all = candidates();
     auto const replicas = *rc::gen::inRange<size_t>(0, 60);
-    auto const chosen = place("r", replicas, all);
+    auto const chosen = choose_instances("r", replicas, all);
     RC_ASSERT(chosen.size() == std::min(replicas, all.size()));
     RC_ASSERT(std::set<std::string>(chosen.begin(), chosen.end()).size() == chosen.size());
     std::map<std::string, size_t> capacity;
@@ -49,28 +49,28 @@
 RC_GTEST_PROP(Place, TheOrderOfTheListDoesNotMatter, ())
 {
     auto all = candidates();
-    auto const chosen = place("r", 10, all);
+    auto const chosen = choose_instances("r", 10, all);
     std::reverse(all.begin(), all.end());
-    RC_ASSERT(place("r", 10, all) == chosen);
+    RC_ASSERT(choose_instances("r", 10, all) == chosen);
 }
 
 RC_GTEST_PROP(Place, TheLossOfAnInstanceMovesFewCopies, ())
 {
     auto all = candidates();
     auto const replicas = *rc::gen::inRange<size_t>(1, 40);
-    auto const before = place("r", replicas, all);
+    auto const before = choose_instances("r", replicas, all);
     auto const lost = *rc::gen::elementOf(all);
     std::erase_if(all, [&](auto const& candidate) { return candidate.id == lost.id; });
-    auto const after = place("r", replicas, all);
+    auto const after = choose_instances("r", replicas, all);
     std::set<std::string> const old_set(before.begin(), before.end());
     auto const moved = std::count_if(after.begin(), after.end(), [&](auto const& id) { return !old_set.contains(id); });
     // One copy replaces the lost one. If the instance was the last one of its domain, one more copy may move to another domain.
     RC_ASSERT(moved <= 1 + (before.size() == after.size() ? 0 : 1));
 }
 
-TEST(Assign, NamedPlacesAreRespectedAndNoInstanceHoldsTwo)
+TEST(Assign, OnlyInstancesInTheNamedPlacesAreAssignedAndEachToOneRollout)
 {
-    Configuration::Fold fold;
+    Configuration::ReplayedState replayed_state;
     for (auto const* name : { "first", "second" }) {
         Schema::RolloutSpec spec;
         spec.model = name;
@@ -86,7 +86,7 @@
         record.change->operation = Schema::Operation::Put;
         record.change->expected_revision = -1;
         record.change->spec = Schema::to_text(spec);
-        fold.apply(Schema::to_text(record));
+        replayed_state.apply(Schema::to_text(record));
     }
     Schema::Members members;
     members.version = 1;
@@ -109,7 +109,7 @@
     add("other-service", "ledger", "riga-a", "north", State::Live);
     Membership::InstanceList list;
     list.update(members);
-    auto const assignment = assign(fold, list);
+    auto const assignment = assign(replayed_state, list);
     EXPECT_EQ(assignment.at("first").size(), 2u);
     EXPECT_EQ(assignment.at("second").size(), 1u);
     std::set<std::string> held;
--- a/Tests/LibPlatform/TestFactFollower.cpp
+++ b/Tests/LibPlatform/TestFactFollower.cpp
@@ -315,5 +315,5 @@
     EXPECT_EQ(log.reads, 1);
     ASSERT_EQ(told.size(), 1u);
     EXPECT_EQ(replica.versions().at("m").newest(), 3);
-    EXPECT_EQ(told[0].older_records, std::vector<std::string> { "version/m" });
+    EXPECT_EQ(told[0].keys_with_older_records, std::vector<std::string> { "version/m" });
 }
--- a/Tests/LibRouting/TestAdmission.cpp
+++ b/Tests/LibRouting/TestAdmission.cpp
@@ -10,7 +10,7 @@
 class AdmissionTest : public testing::Test {
 protected:
     static constexpr Core::WallTime epoch { 1700000000000 };
-    Membership::KeyHome home { "a", "s", {}, epoch };
+    Membership::IdempotencyKeyOwner home { "a", "s", {}, epoch };
     OnceTable table { 1 << 20, Core::Duration(600000) };
     AdmissionView view;
     std::mt19937_64 random { 1 };
@@ -33,7 +33,7 @@
         view.now = Core::Time(1000);
         view.wall_now = epoch + Core::Duration(100000);
         view.capacity = 2;
-        key = Membership::make_key(view.wall_now, random);
+        key = Membership::make_uuid_v7(view.wall_now, random);
         dispatch.customer = "c";
         dispatch.deadline_ms = 1000;
         dispatch.key = key;
@@ -83,7 +83,7 @@
 {
     OnceTable tiny(OnceTable::bytes_per_key, Core::Duration(600000));
     EXPECT_TRUE(std::holds_alternative<Admit>(admit(dispatch, view, home, tiny)));
-    dispatch.key = Membership::make_key(view.wall_now, random);
+    dispatch.key = Membership::make_uuid_v7(view.wall_now, random);
     EXPECT_EQ(refusal(admit(dispatch, view, home, tiny)), Schema::Reason::RecordFull);
     EXPECT_NE(tiny.find(key), nullptr);
 }
--- a/Tests/LibSettings/TestSettings.cpp
+++ b/Tests/LibSettings/TestSettings.cpp
@@ -1,5 +1,5 @@
 // SPDX-License-Identifier: BSD-2-Clause
-#include <LibConfiguration/Fold.h>
+#include <LibConfiguration/ReplayedState.h>
 #include <LibSettings/Settings.h>
 #include <filesystem>
 #include <fstream>
--- a/Tests/StandIns/FakePlatform/FakePlatform.cpp
+++ b/Tests/StandIns/FakePlatform/FakePlatform.cpp
@@ -1,7 +1,7 @@
 // SPDX-License-Identifier: BSD-2-Clause
 #include "FakePlatform.h"
 
-#include <LibConfiguration/Fold.h>
+#include <LibConfiguration/ReplayedState.h>
 #include <LibCore/Hash.h>
 #include <LibSchema/Json.h>
 
--- a/Utilities/mountbarrow-load/LoadRunner.cpp
+++ b/Utilities/mountbarrow-load/LoadRunner.cpp
@@ -1,7 +1,7 @@
 // SPDX-License-Identifier: BSD-2-Clause
 #include "LoadRunner.h"
 
-#include <LibMembership/KeyHome.h>
+#include <LibMembership/IdempotencyKeyOwner.h>
 #include <algorithm>
 
 namespace Load {
@@ -41,7 +41,7 @@
         m_sent += 1;
         auto const first = m_random() % m_settings.entries.size();
         bool const is_keyed = m_settings.model.empty() && share(m_random) < m_settings.keyed_share;
-        auto const key = is_keyed ? Membership::make_key(Core::wall_now(), m_random) : std::string();
+        auto const key = is_keyed ? Membership::make_uuid_v7(Core::wall_now(), m_random) : std::string();
         send_one(key, m_settings.entries[first]);
         if (is_keyed && share(m_random) < m_settings.resend_share)
             send_one(key, m_settings.entries[(first + 1) % m_settings.entries.size()]);
@@ -60,7 +60,7 @@
     if (!running.customer.empty())
         request.headers.emplace_back("X-Customer", running.customer);
     if (m_settings.model.empty()) {
-        running.id = key.empty() ? Membership::make_key(Core::wall_now(), m_random) : key;
+        running.id = key.empty() ? Membership::make_uuid_v7(Core::wall_now(), m_random) : key;
         request.path = "/" + m_settings.service + "/redeem";
         request.headers.emplace_back("X-Call-Id", running.id);
         if (!key.empty())
