--- a/Services/EngineAgent/CopyKeeper.cpp
+++ b/Services/EngineAgent/CopyKeeper.cpp
@@ -12,12 +12,13 @@
 
 static constexpr Core::Duration turn_interval { 50 };
 static constexpr Core::Duration poll_interval { 100 };
-// Entries dial an agent again well before this.
+// After a pause of the process the last goal is used again once this much time has passed without a new one: entries dial an agent
+// again well before this.
 static constexpr Core::Duration alone_after { 3000 };
-// A third of the engines may be out of service at once for a new version.
+// One in this number of the engines may be out of service at once for a new version: a third.
 static constexpr size_t switched_at_once = 3;
-// Entries send nothing to an engine that lacks a version from 1.5 s before its bound: by then it is out of service in any
-// case, and before then it is wanted.
+// Entries send no requests to an engine that lacks a version from 1.5 s before the version's deadline. From then on the engine is out of
+// service in any case, and before then its capacity is needed.
 static constexpr Core::Duration switch_reserve { 1700 };
 
 CopyKeeper::CopyKeeper(Core::EventLoop& loop, CopyKeeperSettings settings, Core::Metrics& metrics, Platform::EngineApi& engine, Platform::WeightOrigin& origin, Callbacks callbacks)
@@ -49,11 +50,11 @@
     };
 }
 
-// What is wanted.
+// The goal.
 
 bool CopyKeeper::is_seeking(int64_t version) const
 {
-    // An engine that holds what is wanted needs no more chunks, until it is restarted.
+    // An engine that holds the version needs no more chunks, until it is restarted.
     return goal() && serving_version() < version;
 }
 
@@ -112,7 +113,7 @@
 
 void CopyKeeper::keep_loading_older()
 {
-    // Each version has a bound of its own: what is complete here may be served before the newer one can be.
+    // Each version has its own deadline, and a version that is complete here can be served before the newer one.
     bool const is_worth_it = m_load && m_fetcher.is_complete() && !m_older && serving_version() < goal()->version;
     if (!is_worth_it)
         return;
@@ -166,11 +167,11 @@
 {
     m_woke_at = Core::monotonic_now();
     m_is_polling = false;
-    take_report(Core::failure(Core::ErrorCode::ConnectFailed, "not asked since a pause"));
+    take_report(Core::failure(Core::ErrorCode::ConnectFailed, "no report was requested since the process was paused"));
     poll_engine();
 }
 
-/// Where no entry is linked again within this, the last word of one still holds.
+/// If no entry sends a goal within this time after a pause, the last goal still applies.
 bool CopyKeeper::knows_present_goal(Core::Time now)
 {
     if (m_woke_at && now - *m_woke_at >= alone_after)
@@ -185,7 +186,7 @@
         return;
     m_goal.take_next();
     auto const now = Core::monotonic_now();
-    // An engine that does not answer wants nothing.
+    // Nothing is fetched for an engine that does not answer, unless the transfer has begun.
     bool const is_engine_there = m_report.has_value() || m_fetcher.has_manifest();
     if (is_engine_there && m_adopting == 0)
         m_fetcher.turn(now);
@@ -206,7 +207,7 @@
 
 void CopyKeeper::on_cache_pieces(std::string const& cache, Schema::PieceMap const& map)
 {
-    // Caches tell only the agents of their own region.
+    // Caches send their maps only to the agents of their own region.
     if (m_near_caches.insert(cache).second)
         m_fetcher.update_sources();
     m_fetcher.on_peer_pieces(cache, map);
@@ -236,7 +237,7 @@
     m_fetcher.begin();
 }
 
-// What an earlier life of this process left beside the engine.
+// Chunks that an earlier process of this agent staged beside the engine.
 
 void CopyKeeper::adopt_staged()
 {
@@ -249,7 +250,7 @@
             if (is_wanted && m_fetcher.adopt(i, *bytes))
                 m_metrics.count("mountbarrow_chunks_adopted_total");
             m_adopting -= 1;
-            // A newer version that was named meanwhile has begun by itself.
+            // The transfer of a newer version that was named meanwhile has started already.
             bool const is_still_wanted = m_fetcher.has_manifest() && m_fetcher.manifest().version == version;
             if (m_adopting == 0 && is_still_wanted)
                 begin_transfer();
@@ -257,7 +258,7 @@
     }
 }
 
-// Laying chunks beside the engine, and ordering it.
+// Staging chunks beside the engine, and ordering it to load them.
 
 void CopyKeeper::run_load(Core::Time now)
 {
@@ -266,7 +267,7 @@
         return;
     if (m_older && is_older_load_over(now))
         m_older.reset();
-    // Only one version lies beside the engine: the newer one waits here until the older one is taken.
+    // Only one version can be staged beside the engine: the newer one waits here until the older one is loaded.
     if (m_older) {
         for (auto const& action : m_older->load->step(now, { may_switch(m_older->goal, m_older->goal_at, now), m_older->goal.may_evict }))
             perform(action, m_older->goal.version);
@@ -316,7 +317,7 @@
 
 bool CopyKeeper::may_switch(Schema::WeightsGoal const& goal, Core::Time goal_at, Core::Time now) const
 {
-    // The bound comes before the capacity that others need: whoever is late goes at once.
+    // The deadline takes precedence over serving capacity: an engine that is close to it switches at once.
     auto const named_at = std::min(goal_at, m_unmet_goals.oldest_named_at().value_or(goal_at));
     if (now >= named_at + Core::Duration(goal.bound_ms) - switch_reserve)
         return true;
@@ -371,7 +372,7 @@
         fault = std::string(Core::error_name(Core::ErrorCode::UnreadableField)) + " " + report->unreadable_fields.front();
     if (!fault.empty())
         m_metrics.count("mountbarrow_report_faults_total");
-    // The engine is asked ten times a second: only a change is worth a line.
+    // The engine is polled ten times a second, so only a change is logged.
     if (fault != std::exchange(m_report_fault, fault))
         Core::log_event(fault.empty() ? Core::LogLevel::Info : Core::LogLevel::Warn, "report_fault", { { "fault", fault.empty() ? "none" : fault } });
 }
@@ -380,7 +381,7 @@
 {
     bool const is_late = report.has_value() && Distribution::is_of_earlier_incarnation(*report, m_report);
     if (is_late)
-        take_report(Core::failure(Core::ErrorCode::UnreadableField, "of an earlier incarnation"));
+        take_report(Core::failure(Core::ErrorCode::UnreadableField, "the report is of an earlier incarnation of the engine"));
     else
         take_report(report);
 }
--- a/Services/EngineAgent/CopyKeeper.h
+++ b/Services/EngineAgent/CopyKeeper.h
@@ -27,52 +27,55 @@
     Weights::CopyFetcherSettings fetcher;
 };
 
-/// Keeps the engine's copy at the version that is wanted: has its chunks brought here, lays them beside the engine, and
-/// orders the engine to take them.
+/// Brings the engine to the goal, which is the version of the weights that the entries last requested: fetches its chunks into this process,
+/// stages them beside the engine, and orders the engine to load them.
+///
+/// While a newer goal is fetched, a complete older version may still be loaded, because each version has its own deadline.
 class CopyKeeper {
 public:
     struct Callbacks {
-        /// Chunks came, to be told to peers.
+        /// Sends a map of the chunks held here to the peers: the agents that this process has links to.
         std::function<void(Schema::PieceMap const&)> announce;
-        /// What the engine holds, or whether it is busy, has changed.
+        /// Called when the version that the engine serves, its incarnation, or whether it is busy has changed.
         std::function<void()> changed;
-        /// Notices a pause of the process that has just ended, before anything is done on what was known before.
+        /// Detects a pause of the process that has just ended. Called before anything is done on the basis of older information.
         std::function<void()> look;
     };
 
     CopyKeeper(Core::EventLoop&, CopyKeeperSettings, Core::Metrics&, Platform::EngineApi&, Platform::WeightOrigin&, Callbacks);
     ~CopyKeeper();
 
-    /// What the engine is to hold. An older version than the present one is ignored; a newer one may have to wait until
-    /// the transfer of the present one ends.
+    /// Sets the version that the engine shall load. A version older than the current goal is ignored; a newer one may have to wait until
+    /// the transfer of the current one ends.
     void set_goal(Schema::WeightsGoal const&);
 
-    /// The process woke from a pause: the engine's report is asked for anew, and no order is given before an entry has said again what
-    /// is wanted.
+    /// Handles the end of a pause of the process: discards the engine's report and requests a new one. No order is sent to the engine until
+    /// an entry has sent the goal again, or for 3 s.
     void on_woke();
 
+    /// Applies a peer's map of chunks, from which also follows which version its engine serves.
     void on_peer_pieces(std::string const& peer, Schema::PieceMap const&);
     void on_peer_down(std::string const& peer);
-    /// What an entry of this region holds for its agents.
+    /// Applies the map of the chunks that an entry of this region caches for agents.
     void on_cache_pieces(std::string const& cache, Schema::PieceMap const&);
-    /// The entries, which keep copies for agents.
+    /// Sets the identities of the entries, all of which cache chunks for agents.
     void set_caches(std::set<std::string> caches);
-    /// What is held here of the version that is wanted, and of an older one that is kept for others.
+    /// Returns the maps of the chunks held here of the goal's version, and of an older version that is kept for other instances.
     std::vector<Schema::PieceMap> held() const { return m_fetcher.held(); }
 
     Distribution::ChunkStore const& store() const { return m_fetcher.store(); }
-    /// Answers a peer's request for a manifest.
+    /// Answers a peer's HTTP request for the manifest of a version: the digests of its chunks.
     void serve_manifest(Transport::HttpExchange& exchange) const { m_fetcher.serve_manifest(exchange); }
 
-    /// The engine as last reported.
+    /// The engine's last report; std::nullopt if the engine did not answer the last request for one.
     std::optional<Platform::EngineReport> const& report() const { return m_report; }
-    /// The engine should get no new request: it loads, or is about to.
+    /// Returns true if the engine should get no new requests because it is loading, or about to load.
     bool is_busy() const;
-    /// Version of which the engine holds all layers; 0 for none, or while it is not known.
+    /// Returns the highest version of which the engine holds all layers; 0 if there is none or it is not known.
     int64_t serving_version() const;
 
 private:
-    /// A version whose chunks are all here, on its way into the engine while a newer one is fetched.
+    /// A version whose chunks are all here and which is being loaded into the engine while a newer one is fetched.
     struct LoadingCopy {
         Schema::WeightsGoal goal;
         Core::Time goal_at { 0 };
@@ -81,36 +84,47 @@
     };
 
     std::optional<Schema::WeightsGoal> const& goal() const { return m_goal.present(); }
+    /// Called before the current goal is replaced by a newer one, which was named at `named_at`.
     void on_turning(Schema::WeightsGoal const& next, Core::Time named_at);
     Weights::CopyFetcher::Callbacks fetcher_callbacks();
     Weights::CopySources sources() const;
+    /// Advances the transfer and the load. Called every 50 ms, and after each event.
     void turn();
     void on_manifest();
-    /// Whether the engine does not serve a version yet.
+    /// Returns true if the engine does not serve the version or a newer one yet.
     bool is_seeking(int64_t version) const;
-    /// Whether some peer's engine does not serve a version yet.
+    /// Returns true if some other engine of the goal does not serve the version or a newer one yet.
     bool is_lacked(int64_t version) const;
     bool does_peer_serve(std::string const& peer, int64_t version) const;
+    /// Lets the load of the current goal go on after a newer one replaces it, if all its chunks are here.
     void keep_loading_older();
+    /// Returns true if the older version is served, has passed its deadline, or can make way for the complete newer one.
     bool is_older_load_over(Core::Time now) const;
-    /// The load of a version, or null if it was given up.
+    /// Returns the load of a version, or null if it was abandoned.
     Distribution::StagedLoad* load_of(int64_t version);
     Schema::VersionSpec const& spec_of(int64_t version) const;
     void poll_engine();
+    /// Counts and logs a report that failed or has unreadable fields.
     void note_report(Core::ErrorOr<Platform::EngineReport> const&);
     void on_report(Core::ErrorOr<Platform::EngineReport> const&);
     void take_report(Core::ErrorOr<Platform::EngineReport> const&);
     void log_restart(std::optional<int64_t> started_at_ms);
+    /// Reads back the chunks that an earlier process staged beside the engine, and keeps those that belong to the goal's version.
     void adopt_staged();
     void begin_transfer();
+    /// Executes the steps of the load that are due: staging chunks, reading them back, and ordering the engine.
     void run_load(Core::Time now);
+    /// Returns true unless the process resumed after a pause less than 3 s ago and has not received the goal since.
     bool knows_present_goal(Core::Time now);
     void perform(Distribution::LoadAction const&, int64_t version);
     void stage(int64_t version, size_t chunk);
     void read_back(int64_t version, size_t chunk);
     void order(int64_t version, Distribution::OrderLoad const&);
+    /// Returns true if this engine may stop serving to load the goal: near the deadline, or if enough peers serve.
     bool may_switch(Schema::WeightsGoal const&, Core::Time goal_at, Core::Time now) const;
+    /// Announces to the peers which version the engine serves, or that it serves none and seeks the goal's version.
     void tell_seeking();
+    /// Logs and publishes a change of the served version, of the engine's start or of whether it is busy.
     void tell_change();
 
     CopyKeeperSettings m_settings;
@@ -122,28 +136,29 @@
     std::unique_ptr<Distribution::StagedLoad> m_load;
     Weights::CopyFetcher m_fetcher;
     Weights::CopyGoal m_goal;
-    // The entries, and those of them in this region.
+    // The identities of the entries, and of those of them in this region.
     std::set<std::string> m_caches;
     std::set<std::string> m_near_caches;
-    // The version that each peer said its engine serves.
+    // The version that each peer's engine serves, according to the peer.
     std::map<std::string, int64_t> m_peer_versions;
     std::optional<LoadingCopy> m_older;
-    // What lay beside the engine when this process started was looked at.
+    // Whether the chunks that an earlier process staged beside the engine have been read back, or are being read back.
     bool m_has_adopted { false };
+    // Number of such chunks whose reading has not ended.
     size_t m_adopting { 0 };
 
     std::optional<Platform::EngineReport> m_report;
-    // What was wrong with the last report; empty if nothing.
+    // The error of the last report; empty if there was none.
     std::string m_report_fault;
-    // The start that the engine told last; entries are told of each.
+    // The engine's start time as last reported, in milliseconds since the epoch, and the one last published to the entries.
     std::optional<int64_t> m_started_at_ms;
     std::optional<int64_t> m_told_start;
     int64_t m_last_version { -1 };
     bool m_was_busy { false };
     bool m_is_polling { false };
-    // Of the report that is asked for; the answer to an earlier question is passed over.
+    // Number of the current request for a report. Responses to earlier requests are ignored.
     uint64_t m_poll_number { 0 };
-    // When the process woke from a pause after which no entry has told what is wanted.
+    // When the process resumed after a pause; empty if an entry has sent the goal since.
     std::optional<Core::Time> m_woke_at;
     std::unique_ptr<Core::Timer> m_turn_timer;
     std::unique_ptr<Core::Timer> m_poll_timer;
--- a/Services/EngineAgent/EngineAgent.cpp
+++ b/Services/EngineAgent/EngineAgent.cpp
@@ -14,11 +14,11 @@
 static constexpr Core::Duration state_interval { 150 };
 static constexpr Core::Duration state_repeat { 1000 };
 static constexpr Core::Duration seed_interval { 500 };
-// Whoever stood still for this long has lost its links.
+// Shortest pause that is handled: after it the other ends have dropped the links of this process.
 static constexpr Core::Duration told_pause = Transport::LinkKeepAlive {}.silence;
 static constexpr size_t neighbours = 32;
 static constexpr size_t fetches_with_caches = 3;
-// A chunk alone takes some 35 ms of a link as the users' instances have it.
+// A chunk alone takes about 35 ms on the network link of the users' instances.
 static constexpr Core::Duration slow_link { 150 };
 static constexpr size_t origin_fetches_in_flight = 1;
 static constexpr size_t peer_fetches_while_seeding = 3;
@@ -133,7 +133,7 @@
     }
 }
 
-/// What was read before the pause, and what waits in links, is as old as the pause is long: nothing of it is told or acted on.
+/// Drops all links and the engine's last report: messages that wait in the links, and the report, are as old as the pause is long.
 void EngineAgent::on_woke(Core::Duration paused_for)
 {
     m_metrics.count("mountbarrow_wakes_total");
@@ -145,7 +145,7 @@
 void EngineAgent::on_link_message(Schema::Hello const& from, Schema::Message const& message)
 {
     m_pauses.look();
-    // One that waited while the process stood still went with its link.
+    // A message that waited during a pause is dropped together with its link.
     if (!m_hub->is_up(from.identity))
         return;
     if (message.weights_goal)
@@ -170,7 +170,7 @@
     m_copy->set_goal(goal);
 }
 
-// Who is dialled.
+// Outgoing links.
 
 bool EngineAgent::is_listed() const
 {
@@ -196,7 +196,7 @@
         others.push_back({ peer.identity, peer.failure_domain, region == m_settings.regions.end() ? "" : region->second });
     }
     for (auto const& id : Distribution::choose_neighbours(self, others, neighbours, 0)) {
-        // Of two agents the one with the lower identity dials. One that is not on the list yet is dialled by nobody.
+        // Of two agents the one with the lower identity dials. An agent that is not listed yet is dialled by none, so it dials all.
         if (id > m_settings.identity || m_has_been_unlisted)
             wanted[id] = { id, static_cast<uint16_t>(m_settings.link_port) };
     }
@@ -204,7 +204,7 @@
 
 void EngineAgent::add_seeds(std::map<std::string, Transport::LinkAddress>& wanted) const
 {
-    // Entries dial the agents that the list names; until the list names this one, it asks an entry itself.
+    // Entries dial the agents on the list. Until this agent is listed, it dials entries itself.
     if (is_listed())
         return;
     auto const seeds = Core::rendezvous_order(m_settings.identity, m_settings.seeds.value_or(std::vector<std::string> {}));
@@ -220,7 +220,6 @@
     m_copy->set_caches({ entries.begin(), entries.end() });
 }
 
-/// Tells an entry that has come of the others, and these of it.
 void EngineAgent::introduce(std::string const& newcomer)
 {
     Schema::Message all;
@@ -287,7 +286,7 @@
 {
     if (m_goal)
         return;
-    // A seed may be stale or down: one more is asked each time.
+    // A seed's address may be outdated or the seed down, so one more is dialled each time.
     m_seeds_asked += 1;
     dial_wanted();
 }
--- a/Services/EngineAgent/EngineAgent.h
+++ b/Services/EngineAgent/EngineAgent.h
@@ -13,20 +13,24 @@
 
 namespace EngineAgent {
 
-/// The process beside an engine: holds, verifies and passes on its weights, orders the engine, and tells entries what
-/// the engine holds and how loaded it is. No request passes through it.
+/// The process beside an engine. It fetches, verifies and serves chunks of weights, orders the engine to load them, and sends
+/// entries the engine's state: the version that it serves and its load. Callers' requests do not pass through it.
 class EngineAgent {
 public:
+    /// The adapters to the platform's interfaces.
     struct PlatformParts {
         std::unique_ptr<Platform::EngineApi> engine;
         std::unique_ptr<Platform::WeightOrigin> origin;
     };
 
+    /// Creates the agent, binds the ports for links and chunks, and connects to its first seed.
     /// @return AddressInUse if a port cannot be bound.
     static Core::ErrorOr<std::unique_ptr<EngineAgent>> create(Core::EventLoop&, Schema::EngineAgentSettings const&, PlatformParts);
     ~EngineAgent();
 
+    /// Stops the event loop at once, as no requests pass through the agent.
     void drain();
+    /// Applies the changed bounds of the settings. Settings that failed to load are logged and ignored.
     void reload(Core::ErrorOr<Schema::EngineAgentSettings> const&);
 
 private:
@@ -38,17 +42,21 @@
     void on_link_message(Schema::Hello const&, Schema::Message const&);
     void on_woke(Core::Duration paused_for);
     void on_goal(Schema::WeightsGoal const&);
-    /// The list that entries go by names this agent's engine.
+    /// Returns true if the list of engines in the last goal contains this agent's engine.
     bool is_listed() const;
     void dial_wanted();
     void add_neighbours(std::map<std::string, Transport::LinkAddress>&) const;
     void add_seeds(std::map<std::string, Transport::LinkAddress>&) const;
+    /// Passes the identities of the linked entries on as caches.
     void tell_caches();
+    /// Sends a newly linked entry the identities of all linked entries, and sends its identity to the others.
     void introduce(std::string const& newcomer);
+    /// Sends the engine's state to all linked entries.
     void send_state();
-    /// To those alone that send requests to the engine; the others wait for the next repeat.
+    /// Sends the state only to the entries that send requests to the engine. The others get the next repetition of the full state.
     void send_load(Schema::EngineState const&);
     void send_state_if_changed();
+    /// Dials one more seed while no entry has sent a goal.
     void ask_more_seeds();
     void on_http(std::shared_ptr<Transport::HttpExchange> const&);
 
@@ -63,10 +71,10 @@
     std::unique_ptr<Weights::ChunkServer> m_chunks;
     std::unique_ptr<Transport::HttpServer> m_http;
     std::optional<Schema::WeightsGoal> m_goal;
-    // Some goal came before the list named this agent's engine.
+    // A goal was received whose list of engines did not contain this agent's engine.
     bool m_has_been_unlisted { false };
     size_t m_seeds_asked { 1 };
-    // Entries that are linked and send nothing to the engine.
+    // Entries that are linked and send no requests to the engine.
     std::set<std::string> m_onlookers;
     Schema::EngineState m_sent_state {};
     Core::Time m_sent_at { 0 };
