--- a/Services/EngineAgent/EngineAgent.cpp
+++ b/Services/EngineAgent/EngineAgent.cpp
@@ -12,19 +12,19 @@
 namespace EngineAgent {
 
 static constexpr Core::Duration state_interval { 150 };
-static constexpr Core::Duration state_repeat { 1000 };
+static constexpr Core::Duration state_repetition_interval { 1000 };
 static constexpr Core::Duration seed_interval { 500 };
 // Shortest pause that is handled: after it the other ends have dropped the links of this process.
-static constexpr Core::Duration told_pause = Transport::LinkKeepAlive {}.silence;
-static constexpr size_t neighbours = 32;
+static constexpr Core::Duration shortest_handled_pause = Transport::LinkKeepAlive {}.silence;
+static constexpr size_t max_neighbours = 32;
 static constexpr size_t fetches_with_caches = 3;
 // A chunk alone takes about 35 ms on the network link of the users' instances.
 static constexpr Core::Duration slow_link { 150 };
 static constexpr size_t origin_fetches_in_flight = 1;
 static constexpr size_t peer_fetches_while_seeding = 3;
 static constexpr size_t seeders = 8;
-static constexpr size_t uploads_at_once = 2;
-static constexpr size_t waiting_uploads = 4;
+static constexpr size_t max_concurrent_uploads = 2;
+static constexpr size_t max_waiting_uploads = 4;
 static constexpr double bytes_per_megabit = 125000;
 // Requests and their answers share the link with the chunks.
 static constexpr double upload_part_of_link = 0.95;
@@ -38,9 +38,9 @@
     return agent;
 }
 
-static CopyKeeperSettings copy_settings(Schema::EngineAgentSettings const& settings)
+static WeightsLoaderSettings weights_loader_settings(Schema::EngineAgentSettings const& settings)
 {
-    CopyKeeperSettings result;
+    WeightsLoaderSettings result;
     result.region = settings.region;
     result.regions = settings.regions;
     result.fetcher.identity = settings.identity;
@@ -74,15 +74,15 @@
         for (auto const& peer : m_hub->peers(Schema::Role::Agent))
             m_hub->send(peer, message);
     };
-    m_copy = std::make_unique<CopyKeeper>(loop, copy_settings(settings), m_metrics, *m_engine, *m_origin, CopyKeeper::Callbacks { .announce = announce, .changed = [this] { send_state(); }, .look = [this] { m_pauses.look(); } });
-    m_pauses.on_woke(told_pause, [this](Core::Duration paused_for) { on_woke(paused_for); });
+    m_loader = std::make_unique<WeightsLoader>(loop, weights_loader_settings(settings), m_metrics, *m_engine, *m_origin, WeightsLoader::Callbacks { .announce = announce, .changed = [this] { send_state(); }, .detect_pause = [this] { m_pauses.look(); } });
+    m_pauses.on_woke(shortest_handled_pause, [this](Core::Duration paused_for) { on_resumed(paused_for); });
     Weights::ChunkServerSettings uploads;
     uploads.bytes_per_second = static_cast<int64_t>(settings.link_megabits_per_second * bytes_per_megabit * upload_part_of_link);
-    uploads.at_once = uploads_at_once;
-    uploads.waiting = waiting_uploads;
-    m_chunks = std::make_unique<Weights::ChunkServer>(loop, uploads, m_metrics, m_copy->store());
+    uploads.at_once = max_concurrent_uploads;
+    uploads.waiting = max_waiting_uploads;
+    m_chunks = std::make_unique<Weights::ChunkServer>(loop, uploads, m_metrics, m_loader->store());
     m_state_timer = loop.every(state_interval, [this] { send_state_if_changed(); });
-    m_seed_timer = loop.every(seed_interval, [this] { ask_more_seeds(); });
+    m_seed_timer = loop.every(seed_interval, [this] { dial_one_more_seed(); });
 }
 
 EngineAgent::~EngineAgent() = default;
@@ -107,9 +107,9 @@
         .message = [this](Schema::Hello const& hello, Schema::Message const& message) { on_link_message(hello, message); },
         .down = [this](std::string const& identity) {
             Core::log_event(Core::LogLevel::Info, "link_down", { { "peer", identity } });
-            m_onlookers.erase(identity);
-            m_copy->on_peer_down(identity);
-            tell_caches(); },
+            m_entries_without_requests.erase(identity);
+            m_loader->on_peer_down(identity);
+            update_caches(); },
         .failed = [this](Core::ErrorCode code) { m_metrics.count("mountbarrow_link_failures_total", "reason=\"" + std::string(Core::error_name(code)) + "\""); },
         .silent = [this](std::string const& identity, Core::Duration silent_for) {
             m_metrics.count("mountbarrow_silent_links_total");
@@ -121,12 +121,12 @@
 {
     Core::log_event(Core::LogLevel::Info, "link_up", { { "peer", hello.identity }, { "role", Schema::enumerator_name(hello.role) } });
     if (hello.role == Schema::Role::Entry) {
-        introduce(hello.identity);
+        send_directory(hello.identity);
         send_state();
-        tell_caches();
+        update_caches();
         return;
     }
-    for (auto const& map : m_copy->held()) {
+    for (auto const& map : m_loader->held()) {
         Schema::Message message;
         message.pieces = map;
         m_hub->send(hello.identity, message);
@@ -134,12 +134,12 @@
 }
 
 /// Drops all links and the engine's last report: messages that wait in the links, and the report, are as old as the pause is long.
-void EngineAgent::on_woke(Core::Duration paused_for)
+void EngineAgent::on_resumed(Core::Duration paused_for)
 {
     m_metrics.count("mountbarrow_wakes_total");
     Core::log_event(Core::LogLevel::Warn, "woke", { { "paused_ms", std::to_string(paused_for.count()) } });
     m_hub->drop_all();
-    m_copy->on_woke();
+    m_loader->on_resumed();
 }
 
 void EngineAgent::on_link_message(Schema::Hello const& from, Schema::Message const& message)
@@ -151,13 +151,13 @@
     if (message.weights_goal)
         on_goal(*message.weights_goal);
     else if (message.pieces && from.role == Schema::Role::Entry)
-        m_copy->on_cache_pieces(from.identity, *message.pieces);
+        m_loader->on_cache_pieces(from.identity, *message.pieces);
     else if (message.pieces)
-        m_copy->on_peer_pieces(from.identity, *message.pieces);
+        m_loader->on_peer_pieces(from.identity, *message.pieces);
     else if (message.engine_use && message.engine_use->is_used)
-        m_onlookers.erase(from.identity);
+        m_entries_without_requests.erase(from.identity);
     else if (message.engine_use)
-        m_onlookers.insert(from.identity);
+        m_entries_without_requests.insert(from.identity);
 }
 
 void EngineAgent::on_goal(Schema::WeightsGoal const& goal)
@@ -167,7 +167,7 @@
     m_goal = goal;
     m_has_been_unlisted = m_has_been_unlisted || !is_listed();
     dial_wanted();
-    m_copy->set_goal(goal);
+    m_loader->set_goal(goal);
 }
 
 // Outgoing links.
@@ -195,7 +195,7 @@
         auto const region = m_settings.regions.find(peer.failure_domain);
         others.push_back({ peer.identity, peer.failure_domain, region == m_settings.regions.end() ? "" : region->second });
     }
-    for (auto const& id : Distribution::choose_neighbours(self, others, neighbours, 0)) {
+    for (auto const& id : Distribution::choose_neighbours(self, others, max_neighbours, 0)) {
         // Of two agents the one with the lower identity dials. An agent that is not listed yet is dialled by none, so it dials all.
         if (id > m_settings.identity || m_has_been_unlisted)
             wanted[id] = { id, static_cast<uint16_t>(m_settings.link_port) };
@@ -208,40 +208,40 @@
     if (is_listed())
         return;
     auto const seeds = Core::rendezvous_order(m_settings.identity, m_settings.seeds.value_or(std::vector<std::string> {}));
-    for (size_t i = 0; i < std::min(m_seeds_asked, seeds.size()); ++i) {
+    for (size_t i = 0; i < std::min(m_dialled_seeds, seeds.size()); ++i) {
         auto const address = Transport::split_address(seeds[i]);
         wanted[address.first] = { address.first, address.second };
     }
 }
 
-void EngineAgent::tell_caches()
+void EngineAgent::update_caches()
 {
     auto const entries = m_hub->peers(Schema::Role::Entry);
-    m_copy->set_caches({ entries.begin(), entries.end() });
+    m_loader->set_caches({ entries.begin(), entries.end() });
 }
 
-void EngineAgent::introduce(std::string const& newcomer)
+void EngineAgent::send_directory(std::string const& newcomer)
 {
     Schema::Message all;
     all.directory.emplace();
     all.directory->entries = m_hub->peers(Schema::Role::Entry);
     m_hub->send(newcomer, all);
-    Schema::Message news;
-    news.directory.emplace();
-    news.directory->entries = { newcomer };
+    Schema::Message announcement;
+    announcement.directory.emplace();
+    announcement.directory->entries = { newcomer };
     for (auto const& entry : all.directory->entries) {
         if (entry != newcomer)
-            m_hub->send(entry, news);
+            m_hub->send(entry, announcement);
     }
 }
 
-static Schema::EngineState to_state(CopyKeeper const& copy)
+static Schema::EngineState to_state(WeightsLoader const& loader)
 {
     Schema::EngineState state {};
-    state.version = copy.serving_version();
+    state.version = loader.serving_version();
     state.pace = 1;
-    state.is_busy = copy.is_busy();
-    if (auto const& report = copy.report()) {
+    state.is_busy = loader.is_busy();
+    if (auto const& report = loader.report()) {
         state.started_at_ms = report->started_at_ms;
         state.running = report->running;
         state.waiting = report->waiting;
@@ -253,7 +253,7 @@
 void EngineAgent::send_state()
 {
     Schema::Message message;
-    message.engine_state = to_state(*m_copy);
+    message.engine_state = to_state(*m_loader);
     m_sent_state = *message.engine_state;
     m_sent_at = Core::monotonic_now();
     for (auto const& entry : m_hub->peers(Schema::Role::Entry))
@@ -266,7 +266,7 @@
     message.engine_state = state;
     m_sent_state = state;
     for (auto const& entry : m_hub->peers(Schema::Role::Entry)) {
-        if (!m_onlookers.contains(entry))
+        if (!m_entries_without_requests.contains(entry))
             m_hub->send(entry, message);
     }
 }
@@ -274,20 +274,20 @@
 void EngineAgent::send_state_if_changed()
 {
     m_pauses.look();
-    auto const state = to_state(*m_copy);
+    auto const state = to_state(*m_loader);
     bool const is_same = state.running == m_sent_state.running && state.waiting == m_sent_state.waiting && state.pace == m_sent_state.pace;
-    if (Core::monotonic_now() - m_sent_at >= state_repeat)
+    if (Core::monotonic_now() - m_sent_at >= state_repetition_interval)
         send_state();
     else if (!is_same)
         send_load(state);
 }
 
-void EngineAgent::ask_more_seeds()
+void EngineAgent::dial_one_more_seed()
 {
     if (m_goal)
         return;
     // A seed's address may be outdated or the seed down, so one more is dialled each time.
-    m_seeds_asked += 1;
+    m_dialled_seeds += 1;
     dial_wanted();
 }
 
@@ -298,7 +298,7 @@
     if (path.starts_with(chunk_prefix))
         m_chunks->serve(exchange, path.substr(chunk_prefix.size()));
     else if (path == "/manifest")
-        m_copy->serve_manifest(*exchange);
+        m_loader->serve_manifest(*exchange);
     else if (path == "/metrics")
         exchange->reply(status_ok, { { "Content-Type", "text/plain; version=0.0.4" } }, m_metrics.to_prometheus());
     else
--- a/Services/EngineAgent/EngineAgent.h
+++ b/Services/EngineAgent/EngineAgent.h
@@ -2,7 +2,7 @@
 #pragma once
 
 #include "../Weights/ChunkServer.h"
-#include "CopyKeeper.h"
+#include "WeightsLoader.h"
 #include <LibCore/EventLoop.h>
 #include <LibCore/Metrics.h>
 #include <LibCore/PauseWatch.h>
@@ -40,7 +40,7 @@
     Transport::LinkHub::Callbacks link_callbacks();
     void on_link_up(Schema::Hello const&);
     void on_link_message(Schema::Hello const&, Schema::Message const&);
-    void on_woke(Core::Duration paused_for);
+    void on_resumed(Core::Duration paused_for);
     void on_goal(Schema::WeightsGoal const&);
     /// Returns true if the list of engines in the last goal contains this agent's engine.
     bool is_listed() const;
@@ -48,16 +48,16 @@
     void add_neighbours(std::map<std::string, Transport::LinkAddress>&) const;
     void add_seeds(std::map<std::string, Transport::LinkAddress>&) const;
     /// Passes the identities of the linked entries on as caches.
-    void tell_caches();
+    void update_caches();
     /// Sends a newly linked entry the identities of all linked entries, and sends its identity to the others.
-    void introduce(std::string const& newcomer);
+    void send_directory(std::string const& newcomer);
     /// Sends the engine's state to all linked entries.
     void send_state();
     /// Sends the state only to the entries that send requests to the engine. The others get the next repetition of the full state.
     void send_load(Schema::EngineState const&);
     void send_state_if_changed();
     /// Dials one more seed while no entry has sent a goal.
-    void ask_more_seeds();
+    void dial_one_more_seed();
     void on_http(std::shared_ptr<Transport::HttpExchange> const&);
 
     Core::EventLoop& m_loop;
@@ -67,15 +67,15 @@
     std::unique_ptr<Platform::EngineApi> m_engine;
     std::unique_ptr<Platform::WeightOrigin> m_origin;
     std::unique_ptr<Transport::LinkHub> m_hub;
-    std::unique_ptr<CopyKeeper> m_copy;
+    std::unique_ptr<WeightsLoader> m_loader;
     std::unique_ptr<Weights::ChunkServer> m_chunks;
     std::unique_ptr<Transport::HttpServer> m_http;
     std::optional<Schema::WeightsGoal> m_goal;
     // A goal was received whose list of engines did not contain this agent's engine.
     bool m_has_been_unlisted { false };
-    size_t m_seeds_asked { 1 };
+    size_t m_dialled_seeds { 1 };
     // Entries that are linked and send no requests to the engine.
-    std::set<std::string> m_onlookers;
+    std::set<std::string> m_entries_without_requests;
     Schema::EngineState m_sent_state {};
     Core::Time m_sent_at { 0 };
     std::unique_ptr<Core::Timer> m_state_timer;
--- a/Services/EngineAgent/CopyKeeper.cpp
+++ b/Services/EngineAgent/WeightsLoader.cpp
@@ -1,5 +1,5 @@
 // SPDX-License-Identifier: BSD-2-Clause
-#include "CopyKeeper.h"
+#include "WeightsLoader.h"
 
 #include <LibConfiguration/HeldVersion.h>
 #include <LibCore/Hash.h>
@@ -10,32 +10,32 @@
 
 namespace EngineAgent {
 
-static constexpr Core::Duration turn_interval { 50 };
+static constexpr Core::Duration update_interval { 50 };
 static constexpr Core::Duration poll_interval { 100 };
 // After a pause of the process the last goal is used again once this much time has passed without a new one: entries dial an agent
 // again well before this.
-static constexpr Core::Duration alone_after { 3000 };
+static constexpr Core::Duration goal_valid_after_pause { 3000 };
 // One in this number of the engines may be out of service at once for a new version: a third.
-static constexpr size_t switched_at_once = 3;
+static constexpr size_t engines_per_switching_one = 3;
 // Entries send no requests to an engine that lacks a version from 1.5 s before the version's deadline. From then on the engine is out of
 // service in any case, and before then its capacity is needed.
-static constexpr Core::Duration switch_reserve { 1700 };
+static constexpr Core::Duration switch_time_before_deadline { 1700 };
 
-CopyKeeper::CopyKeeper(Core::EventLoop& loop, CopyKeeperSettings settings, Core::Metrics& metrics, Platform::EngineApi& engine, Platform::WeightOrigin& origin, Callbacks callbacks)
+WeightsLoader::WeightsLoader(Core::EventLoop& loop, WeightsLoaderSettings settings, Core::Metrics& metrics, Platform::EngineApi& engine, Platform::WeightOrigin& origin, Callbacks callbacks)
     : m_settings(std::move(settings))
     , m_metrics(metrics)
     , m_engine(engine)
     , m_callbacks(std::move(callbacks))
     , m_fetcher(loop, m_settings.fetcher, metrics, origin, fetcher_callbacks())
-    , m_goal(m_fetcher, { .is_seeking = [this](int64_t version) { return is_seeking(version); }, .turning = [this](Schema::WeightsGoal const& next, Core::Time named_at) { on_turning(next, named_at); } })
-    , m_turn_timer(loop.every(turn_interval, [this] { turn(); }))
+    , m_goal(m_fetcher, { .is_seeking = [this](int64_t version) { return is_seeking(version); }, .turning = [this](Schema::WeightsGoal const& next, Core::Time named_at) { on_goal_change(next, named_at); } })
+    , m_update_timer(loop.every(update_interval, [this] { update(); }))
     , m_poll_timer(loop.every(poll_interval, [this] { poll_engine(); }))
 {
 }
 
-CopyKeeper::~CopyKeeper() = default;
+WeightsLoader::~WeightsLoader() = default;
 
-Weights::CopyFetcher::Callbacks CopyKeeper::fetcher_callbacks()
+Weights::CopyFetcher::Callbacks WeightsLoader::fetcher_callbacks()
 {
     return {
         .announce = [this](Schema::PieceMap const& map) { m_callbacks.announce(map); },
@@ -52,30 +52,30 @@
 
 // The goal.
 
-bool CopyKeeper::is_seeking(int64_t version) const
+bool WeightsLoader::is_seeking(int64_t version) const
 {
     // An engine that holds the version needs no more chunks, until it is restarted.
     return goal() && serving_version() < version;
 }
 
-bool CopyKeeper::is_lacked(int64_t version) const
+bool WeightsLoader::is_lacked(int64_t version) const
 {
     return goal() && std::any_of(goal()->peers.begin(), goal()->peers.end(), [&](auto const& peer) {
         return peer.identity != m_settings.fetcher.identity && !does_peer_serve(peer.identity, version);
     });
 }
 
-bool CopyKeeper::does_peer_serve(std::string const& peer, int64_t version) const
+bool WeightsLoader::does_peer_serve(std::string const& peer, int64_t version) const
 {
     auto const served = m_peer_versions.find(peer);
     return served != m_peer_versions.end() && served->second >= version;
 }
 
-Weights::CopySources CopyKeeper::sources() const
+Weights::CopySources WeightsLoader::sources() const
 {
     Weights::CopySources sources;
     sources.caches.assign(m_caches.begin(), m_caches.end());
-    sources.near.assign(m_near_caches.begin(), m_near_caches.end());
+    sources.near.assign(m_caches_in_region.begin(), m_caches_in_region.end());
     sources.targets.push_back(m_settings.fetcher.identity);
     sources.near.push_back(m_settings.fetcher.identity);
     for (auto const& peer : goal()->peers) {
@@ -90,38 +90,38 @@
     return sources;
 }
 
-void CopyKeeper::set_goal(Schema::WeightsGoal const& goal)
+void WeightsLoader::set_goal(Schema::WeightsGoal const& goal)
 {
-    m_woke_at.reset();
+    m_resumed_at.reset();
     if (m_goal.name(goal, Core::monotonic_now() - Core::Duration(goal.age_ms)))
-        turn();
+        update();
 }
 
-void CopyKeeper::on_turning(Schema::WeightsGoal const& next, Core::Time named_at)
+void WeightsLoader::on_goal_change(Schema::WeightsGoal const& next, Core::Time named_at)
 {
     keep_loading_older();
     m_unmet_goals.on_named(next.version, named_at);
     m_load.reset();
 }
 
-void CopyKeeper::set_caches(std::set<std::string> caches)
+void WeightsLoader::set_caches(std::set<std::string> caches)
 {
     m_caches = std::move(caches);
-    std::erase_if(m_near_caches, [this](auto const& cache) { return !m_caches.contains(cache); });
+    std::erase_if(m_caches_in_region, [this](auto const& cache) { return !m_caches.contains(cache); });
     m_fetcher.update_sources();
 }
 
-void CopyKeeper::keep_loading_older()
+void WeightsLoader::keep_loading_older()
 {
     // Each version has its own deadline, and a version that is complete here can be served before the newer one.
     bool const is_worth_it = m_load && m_fetcher.is_complete() && !m_older && serving_version() < goal()->version;
     if (!is_worth_it)
         return;
-    m_older = LoadingCopy { *goal(), m_goal.named_at(), m_fetcher.spec(), std::move(m_load) };
+    m_older = OlderLoad { *goal(), m_goal.named_at(), m_fetcher.spec(), std::move(m_load) };
     Core::log_event(Core::LogLevel::Info, "older_load_goes_on", { { "version", std::to_string(m_older->goal.version) } });
 }
 
-bool CopyKeeper::is_older_load_over(Core::Time now) const
+bool WeightsLoader::is_older_load_over(Core::Time now) const
 {
     if (serving_version() >= m_older->goal.version)
         return true;
@@ -130,30 +130,30 @@
     return m_fetcher.is_complete() || now >= m_older->goal_at + Core::Duration(m_older->goal.bound_ms);
 }
 
-Distribution::StagedLoad* CopyKeeper::load_of(int64_t version)
+Distribution::StagedLoad* WeightsLoader::load_of(int64_t version)
 {
     if (m_older && m_older->load->version() == version)
         return m_older->load.get();
     return m_load && m_load->version() == version ? m_load.get() : nullptr;
 }
 
-Schema::VersionSpec const& CopyKeeper::spec_of(int64_t version) const
+Schema::VersionSpec const& WeightsLoader::spec_of(int64_t version) const
 {
     return m_older && m_older->load->version() == version ? m_older->spec : m_fetcher.spec();
 }
 
-int64_t CopyKeeper::serving_version() const
+int64_t WeightsLoader::serving_version() const
 {
     return m_report && goal() ? Configuration::highest_complete_version(m_report->held, goal()->layers) : 0;
 }
 
-bool CopyKeeper::is_busy() const
+bool WeightsLoader::is_busy() const
 {
     bool const is_switching = (m_load && m_load->is_switching()) || (m_older && m_older->load->is_switching());
     return (m_report && m_report->is_busy) || is_switching;
 }
 
-void CopyKeeper::tell_seeking()
+void WeightsLoader::announce_served_version()
 {
     auto const version = serving_version();
     Schema::PieceMap map;
@@ -163,25 +163,25 @@
     m_callbacks.announce(map);
 }
 
-void CopyKeeper::on_woke()
+void WeightsLoader::on_resumed()
 {
-    m_woke_at = Core::monotonic_now();
+    m_resumed_at = Core::monotonic_now();
     m_is_polling = false;
-    take_report(Core::failure(Core::ErrorCode::ConnectFailed, "no report was requested since the process was paused"));
+    apply_report(Core::failure(Core::ErrorCode::ConnectFailed, "no report was requested since the process was paused"));
     poll_engine();
 }
 
 /// If no entry sends a goal within this time after a pause, the last goal still applies.
-bool CopyKeeper::knows_present_goal(Core::Time now)
+bool WeightsLoader::is_goal_current(Core::Time now)
 {
-    if (m_woke_at && now - *m_woke_at >= alone_after)
-        m_woke_at.reset();
-    return !m_woke_at;
+    if (m_resumed_at && now - *m_resumed_at >= goal_valid_after_pause)
+        m_resumed_at.reset();
+    return !m_resumed_at;
 }
 
-void CopyKeeper::turn()
+void WeightsLoader::update()
 {
-    m_callbacks.look();
+    m_callbacks.detect_pause();
     if (!goal())
         return;
     m_goal.take_next();
@@ -191,10 +191,10 @@
     if (is_engine_there && m_adopting == 0)
         m_fetcher.turn(now);
     run_load(now);
-    tell_change();
+    publish_changes();
 }
 
-void CopyKeeper::on_peer_pieces(std::string const& peer, Schema::PieceMap const& map)
+void WeightsLoader::on_peer_pieces(std::string const& peer, Schema::PieceMap const& map)
 {
     auto& served = m_peer_versions[peer];
     auto const before = served;
@@ -202,25 +202,25 @@
     if (served != before)
         m_fetcher.update_sources();
     m_fetcher.on_peer_pieces(peer, map);
-    turn();
+    update();
 }
 
-void CopyKeeper::on_cache_pieces(std::string const& cache, Schema::PieceMap const& map)
+void WeightsLoader::on_cache_pieces(std::string const& cache, Schema::PieceMap const& map)
 {
     // Caches send their maps only to the agents of their own region.
-    if (m_near_caches.insert(cache).second)
+    if (m_caches_in_region.insert(cache).second)
         m_fetcher.update_sources();
     m_fetcher.on_peer_pieces(cache, map);
-    turn();
+    update();
 }
 
-void CopyKeeper::on_peer_down(std::string const& peer)
+void WeightsLoader::on_peer_down(std::string const& peer)
 {
     m_peer_versions.erase(peer);
     m_fetcher.on_peer_down(peer);
 }
 
-void CopyKeeper::on_manifest()
+void WeightsLoader::on_manifest()
 {
     auto const& manifest = m_fetcher.manifest();
     m_load = std::make_unique<Distribution::StagedLoad>(manifest.version, manifest.digests.size(), Distribution::StagedLoadSettings {});
@@ -232,14 +232,14 @@
         adopt_staged();
 }
 
-void CopyKeeper::begin_transfer()
+void WeightsLoader::begin_transfer()
 {
     m_fetcher.begin();
 }
 
 // Chunks that an earlier process of this agent staged beside the engine.
 
-void CopyKeeper::adopt_staged()
+void WeightsLoader::adopt_staged()
 {
     m_has_adopted = true;
     m_adopting = m_fetcher.spec().chunks.size();
@@ -260,10 +260,10 @@
 
 // Staging chunks beside the engine, and ordering it to load them.
 
-void CopyKeeper::run_load(Core::Time now)
+void WeightsLoader::run_load(Core::Time now)
 {
-    m_callbacks.look();
-    if (!knows_present_goal(now))
+    m_callbacks.detect_pause();
+    if (!is_goal_current(now))
         return;
     if (m_older && is_older_load_over(now))
         m_older.reset();
@@ -279,7 +279,7 @@
         perform(action, goal()->version);
 }
 
-void CopyKeeper::perform(Distribution::LoadAction const& action, int64_t version)
+void WeightsLoader::perform(Distribution::LoadAction const& action, int64_t version)
 {
     if (auto const* stage_chunk = std::get_if<Distribution::StageChunk>(&action))
         stage(version, stage_chunk->chunk);
@@ -289,7 +289,7 @@
         order(version, *due);
 }
 
-void CopyKeeper::stage(int64_t version, size_t chunk)
+void WeightsLoader::stage(int64_t version, size_t chunk)
 {
     auto const bytes = m_fetcher.store().find(spec_of(version).chunks[chunk].digest);
     m_engine.stage(goal()->model, chunk, bytes ? *bytes : std::string(), [this, version, chunk](bool is_done) {
@@ -301,7 +301,7 @@
     });
 }
 
-void CopyKeeper::read_back(int64_t version, size_t chunk)
+void WeightsLoader::read_back(int64_t version, size_t chunk)
 {
     m_engine.read_staged(goal()->model, chunk, [this, version, chunk](std::shared_ptr<std::string const> const& bytes) {
         auto* load = load_of(version);
@@ -315,11 +315,11 @@
     });
 }
 
-bool CopyKeeper::may_switch(Schema::WeightsGoal const& goal, Core::Time goal_at, Core::Time now) const
+bool WeightsLoader::may_switch(Schema::WeightsGoal const& goal, Core::Time goal_at, Core::Time now) const
 {
     // The deadline takes precedence over serving capacity: an engine that is close to it switches at once.
     auto const named_at = std::min(goal_at, m_unmet_goals.oldest_named_at().value_or(goal_at));
-    if (now >= named_at + Core::Duration(goal.bound_ms) - switch_reserve)
+    if (now >= named_at + Core::Duration(goal.bound_ms) - switch_time_before_deadline)
         return true;
     std::vector<std::string> ids { m_settings.fetcher.identity };
     std::vector<std::string> ready;
@@ -330,12 +330,12 @@
         if (does_peer_serve(peer.identity, goal.version))
             ready.push_back(peer.identity);
     }
-    auto const slack = std::max<size_t>(1, ids.size() / switched_at_once);
+    auto const slack = std::max<size_t>(1, ids.size() / engines_per_switching_one);
     auto const ranked = Core::rendezvous_order(std::to_string(goal.version), std::move(ids));
     return Distribution::may_switch(m_settings.fetcher.identity, ranked, ready, slack);
 }
 
-void CopyKeeper::order(int64_t version, Distribution::OrderLoad const& due)
+void WeightsLoader::order(int64_t version, Distribution::OrderLoad const& due)
 {
     auto const goal_at = m_older && m_older->goal.version == version ? m_older->goal_at : m_goal.named_at();
     Core::log_event(Core::LogLevel::Info, "load_ordered", { { "version", std::to_string(version) }, { "expected_sequence", due.expected_sequence ? std::to_string(*due.expected_sequence) : "any" }, { "manner", due.manner == Platform::LoadManner::EvictRunning ? "evict" : "wait" }, { "running", std::to_string(m_report ? m_report->running : 0) }, { "after_ms", std::to_string((Core::monotonic_now() - goal_at).count()) } });
@@ -350,9 +350,9 @@
 
 // The engine's own report.
 
-void CopyKeeper::poll_engine()
+void WeightsLoader::poll_engine()
 {
-    m_callbacks.look();
+    m_callbacks.detect_pause();
     if (std::exchange(m_is_polling, true))
         return;
     m_engine.read_report([this, number = ++m_poll_number](Core::ErrorOr<Platform::EngineReport> const& report) {
@@ -363,7 +363,7 @@
     });
 }
 
-void CopyKeeper::note_report(Core::ErrorOr<Platform::EngineReport> const& report)
+void WeightsLoader::log_report_fault(Core::ErrorOr<Platform::EngineReport> const& report)
 {
     std::string fault;
     if (!report.has_value())
@@ -377,16 +377,16 @@
         Core::log_event(fault.empty() ? Core::LogLevel::Info : Core::LogLevel::Warn, "report_fault", { { "fault", fault.empty() ? "none" : fault } });
 }
 
-void CopyKeeper::on_report(Core::ErrorOr<Platform::EngineReport> const& report)
+void WeightsLoader::on_report(Core::ErrorOr<Platform::EngineReport> const& report)
 {
     bool const is_late = report.has_value() && Distribution::is_of_earlier_incarnation(*report, m_report);
     if (is_late)
-        take_report(Core::failure(Core::ErrorCode::UnreadableField, "the report is of an earlier incarnation of the engine"));
+        apply_report(Core::failure(Core::ErrorCode::UnreadableField, "the report is of an earlier incarnation of the engine"));
     else
-        take_report(report);
+        apply_report(report);
 }
 
-void CopyKeeper::log_restart(std::optional<int64_t> started_at_ms)
+void WeightsLoader::log_restart(std::optional<int64_t> started_at_ms)
 {
     if (!started_at_ms || started_at_ms == m_started_at_ms)
         return;
@@ -395,9 +395,9 @@
     m_started_at_ms = started_at_ms;
 }
 
-void CopyKeeper::take_report(Core::ErrorOr<Platform::EngineReport> const& report)
+void WeightsLoader::apply_report(Core::ErrorOr<Platform::EngineReport> const& report)
 {
-    note_report(report);
+    log_report_fault(report);
     if (!report.has_value()) {
         m_report.reset();
         if (m_load)
@@ -413,24 +413,24 @@
         if (m_older)
             m_older->load->on_report(*m_report, m_older->goal.layers, now);
     }
-    tell_change();
+    publish_changes();
 }
 
-void CopyKeeper::tell_change()
+void WeightsLoader::publish_changes()
 {
     auto const is_busy = this->is_busy();
     auto const version = serving_version();
-    bool const is_same = version == m_last_version && is_busy == m_was_busy && m_told_start == m_started_at_ms;
+    bool const is_same = version == m_last_version && is_busy == m_was_busy && m_published_start == m_started_at_ms;
     if (is_same)
         return;
-    m_told_start = m_started_at_ms;
+    m_published_start = m_started_at_ms;
     Core::log_event(Core::LogLevel::Info, "engine_changed", { { "version", std::to_string(version) }, { "busy", is_busy ? "yes" : "no" }, { "reachable", m_report ? "yes" : "no" } });
     bool const is_other_version = version != m_last_version;
     m_unmet_goals.on_serving(version);
     m_last_version = version;
     m_was_busy = is_busy;
     if (is_other_version && goal())
-        tell_seeking();
+        announce_served_version();
     m_callbacks.changed();
 }
 
--- a/Services/EngineAgent/CopyKeeper.h
+++ b/Services/EngineAgent/WeightsLoader.h
@@ -20,7 +20,7 @@
 
 namespace EngineAgent {
 
-struct CopyKeeperSettings {
+struct WeightsLoaderSettings {
     std::string region;
     /// The region of each failure domain.
     std::map<std::string, std::string> regions;
@@ -31,7 +31,7 @@
 /// stages them beside the engine, and orders the engine to load them.
 ///
 /// While a newer goal is fetched, a complete older version may still be loaded, because each version has its own deadline.
-class CopyKeeper {
+class WeightsLoader {
 public:
     struct Callbacks {
         /// Sends a map of the chunks held here to the peers: the agents that this process has links to.
@@ -39,11 +39,11 @@
         /// Called when the version that the engine serves, its incarnation, or whether it is busy has changed.
         std::function<void()> changed;
         /// Detects a pause of the process that has just ended. Called before anything is done on the basis of older information.
-        std::function<void()> look;
+        std::function<void()> detect_pause;
     };
 
-    CopyKeeper(Core::EventLoop&, CopyKeeperSettings, Core::Metrics&, Platform::EngineApi&, Platform::WeightOrigin&, Callbacks);
-    ~CopyKeeper();
+    WeightsLoader(Core::EventLoop&, WeightsLoaderSettings, Core::Metrics&, Platform::EngineApi&, Platform::WeightOrigin&, Callbacks);
+    ~WeightsLoader();
 
     /// Sets the version that the engine shall load. A version older than the current goal is ignored; a newer one may have to wait until
     /// the transfer of the current one ends.
@@ -51,7 +51,7 @@
 
     /// Handles the end of a pause of the process: discards the engine's report and requests a new one. No order is sent to the engine until
     /// an entry has sent the goal again, or for 3 s.
-    void on_woke();
+    void on_resumed();
 
     /// Applies a peer's map of chunks, from which also follows which version its engine serves.
     void on_peer_pieces(std::string const& peer, Schema::PieceMap const&);
@@ -76,7 +76,7 @@
 
 private:
     /// A version whose chunks are all here and which is being loaded into the engine while a newer one is fetched.
-    struct LoadingCopy {
+    struct OlderLoad {
         Schema::WeightsGoal goal;
         Core::Time goal_at { 0 };
         Schema::VersionSpec spec;
@@ -85,11 +85,11 @@
 
     std::optional<Schema::WeightsGoal> const& goal() const { return m_goal.present(); }
     /// Called before the current goal is replaced by a newer one, which was named at `named_at`.
-    void on_turning(Schema::WeightsGoal const& next, Core::Time named_at);
+    void on_goal_change(Schema::WeightsGoal const& next, Core::Time named_at);
     Weights::CopyFetcher::Callbacks fetcher_callbacks();
     Weights::CopySources sources() const;
     /// Advances the transfer and the load. Called every 50 ms, and after each event.
-    void turn();
+    void update();
     void on_manifest();
     /// Returns true if the engine does not serve the version or a newer one yet.
     bool is_seeking(int64_t version) const;
@@ -105,9 +105,9 @@
     Schema::VersionSpec const& spec_of(int64_t version) const;
     void poll_engine();
     /// Counts and logs a report that failed or has unreadable fields.
-    void note_report(Core::ErrorOr<Platform::EngineReport> const&);
+    void log_report_fault(Core::ErrorOr<Platform::EngineReport> const&);
     void on_report(Core::ErrorOr<Platform::EngineReport> const&);
-    void take_report(Core::ErrorOr<Platform::EngineReport> const&);
+    void apply_report(Core::ErrorOr<Platform::EngineReport> const&);
     void log_restart(std::optional<int64_t> started_at_ms);
     /// Reads back the chunks that an earlier process staged beside the engine, and keeps those that belong to the goal's version.
     void adopt_staged();
@@ -115,7 +115,7 @@
     /// Executes the steps of the load that are due: staging chunks, reading them back, and ordering the engine.
     void run_load(Core::Time now);
     /// Returns true unless the process resumed after a pause less than 3 s ago and has not received the goal since.
-    bool knows_present_goal(Core::Time now);
+    bool is_goal_current(Core::Time now);
     void perform(Distribution::LoadAction const&, int64_t version);
     void stage(int64_t version, size_t chunk);
     void read_back(int64_t version, size_t chunk);
@@ -123,11 +123,11 @@
     /// Returns true if this engine may stop serving to load the goal: near the deadline, or if enough peers serve.
     bool may_switch(Schema::WeightsGoal const&, Core::Time goal_at, Core::Time now) const;
     /// Announces to the peers which version the engine serves, or that it serves none and seeks the goal's version.
-    void tell_seeking();
+    void announce_served_version();
     /// Logs and publishes a change of the served version, of the engine's start or of whether it is busy.
-    void tell_change();
+    void publish_changes();
 
-    CopyKeeperSettings m_settings;
+    WeightsLoaderSettings m_settings;
     Core::Metrics& m_metrics;
     Platform::EngineApi& m_engine;
     Callbacks m_callbacks;
@@ -138,10 +138,10 @@
     Weights::CopyGoal m_goal;
     // The identities of the entries, and of those of them in this region.
     std::set<std::string> m_caches;
-    std::set<std::string> m_near_caches;
+    std::set<std::string> m_caches_in_region;
     // The version that each peer's engine serves, according to the peer.
     std::map<std::string, int64_t> m_peer_versions;
-    std::optional<LoadingCopy> m_older;
+    std::optional<OlderLoad> m_older;
     // Whether the chunks that an earlier process staged beside the engine have been read back, or are being read back.
     bool m_has_adopted { false };
     // Number of such chunks whose reading has not ended.
@@ -152,15 +152,15 @@
     std::string m_report_fault;
     // The engine's start time as last reported, in milliseconds since the epoch, and the one last published to the entries.
     std::optional<int64_t> m_started_at_ms;
-    std::optional<int64_t> m_told_start;
+    std::optional<int64_t> m_published_start;
     int64_t m_last_version { -1 };
     bool m_was_busy { false };
     bool m_is_polling { false };
     // Number of the current request for a report. Responses to earlier requests are ignored.
     uint64_t m_poll_number { 0 };
     // When the process resumed after a pause; empty if an entry has sent the goal since.
-    std::optional<Core::Time> m_woke_at;
-    std::unique_ptr<Core::Timer> m_turn_timer;
+    std::optional<Core::Time> m_resumed_at;
+    std::unique_ptr<Core::Timer> m_update_timer;
     std::unique_ptr<Core::Timer> m_poll_timer;
 };
 
