--- a/Services/Agent/Agent.h
+++ b/Services/Agent/Agent.h
@@ -6,8 +6,8 @@
 #include <LibConfiguration/Replica.h>
 #include <LibCore/EventLoop.h>
 #include <LibCore/Metrics.h>
-#include <LibMembership/InstanceList.h>
 #include <LibMembership/IdempotencyKeyOwner.h>
+#include <LibMembership/InstanceList.h>
 #include <LibMembership/LeaveAcknowledgements.h>
 #include <LibPlatform/Platform.h>
 #include <LibSchema/Generated.h>
--- a/Services/Entry/Entry.h
+++ b/Services/Entry/Entry.h
@@ -6,8 +6,8 @@
 #include <LibConfiguration/Replica.h>
 #include <LibConfiguration/SnapshotSchedule.h>
 #include <LibDistribution/RolloutTally.h>
-#include <LibMembership/InstanceList.h>
 #include <LibMembership/IdempotencyKeyOwner.h>
+#include <LibMembership/InstanceList.h>
 #include <LibPlatform/Platform.h>
 #include <LibTransport/IngressServer.h>
 #include <LibTransport/LinkHub.h>
