--- a/Libraries/LibConfiguration/FactReplica.cpp
+++ b/Libraries/LibConfiguration/FactReplica.cpp
@@ -158,17 +158,17 @@
     AsLogged,
 };
 
-static RecordOrder order_of_records(Schema::BackendServer const& held, Schema::BackendServer const& told)
+static RecordOrder order_of_records(Schema::BackendServer const& held, Schema::BackendServer const& candidate)
 {
     // Without both start times only the order in the log can tell incarnations apart.
-    if (!held.started_at_ms || !told.started_at_ms)
+    if (!held.started_at_ms || !candidate.started_at_ms)
         return RecordOrder::AsLogged;
-    if (*held.started_at_ms != *told.started_at_ms)
-        return *held.started_at_ms < *told.started_at_ms ? RecordOrder::Newer : RecordOrder::Older;
+    if (*held.started_at_ms != *candidate.started_at_ms)
+        return *held.started_at_ms < *candidate.started_at_ms ? RecordOrder::Newer : RecordOrder::Older;
     // Within one incarnation draining is final: a server becomes ready again only by a new start or after a removal of its record.
     // A record of the same incarnation that says that it is ready was therefore written before the draining one.
-    if (held.is_draining != told.is_draining && !is_presumed_draining(held) && !is_presumed_draining(told))
-        return told.is_draining ? RecordOrder::Newer : RecordOrder::Older;
+    if (held.is_draining != candidate.is_draining && !is_presumed_draining(held) && !is_presumed_draining(candidate))
+        return candidate.is_draining ? RecordOrder::Newer : RecordOrder::Older;
     return RecordOrder::AsLogged;
 }
 
@@ -306,7 +306,7 @@
     return changes;
 }
 
-FactChanges FactReplica::on_peer(Schema::FactBatch const& batch, ReadTime const& told)
+FactChanges FactReplica::on_peer(Schema::FactBatch const& batch, ReadTime const& received)
 {
     FactChanges changes;
     for (auto const& message : batch.facts) {
@@ -314,8 +314,8 @@
         if (!fact.has_value())
             continue;
         if (auto const* version = std::get_if<Schema::ModelVersion>(&fact->value))
-            merge_peer_versions(version->model, message, told, changes);
-        apply(*fact, told, changes);
+            merge_peer_versions(version->model, message, received, changes);
+        apply(*fact, received, changes);
     }
     m_configuration_end = std::max(m_configuration_end, batch.configuration_end);
     m_servers_end = std::max(m_servers_end, batch.servers_end);
@@ -337,22 +337,22 @@
         return;
     std::vector<Schema::ToldVersion> versions;
     for (auto const& known : m_versions.at(version->model).versions) {
-        Schema::ToldVersion told { .known_ms_ago = (now - known.known).count(), .named_ms_ago = {}, .version = known.version };
+        Schema::ToldVersion version_message { .known_ms_ago = (now - known.known).count(), .named_ms_ago = {}, .version = known.version };
         if (known.named)
-            told.named_ms_ago = (now - *known.named).count();
-        versions.push_back(told);
+            version_message.named_ms_ago = (now - *known.named).count();
+        versions.push_back(version_message);
     }
     message.versions = std::move(versions);
 }
 
-void FactReplica::merge_peer_versions(std::string const& model, Schema::Fact const& message, ReadTime const& told, FactChanges& changes)
+void FactReplica::merge_peer_versions(std::string const& model, Schema::Fact const& message, ReadTime const& received, FactChanges& changes)
 {
     auto const newest_before = m_versions[model].newest();
     for (auto const& each : message.versions.value_or(std::vector<Schema::ToldVersion> {})) {
-        auto named = time_before(told.earliest(), each.named_ms_ago);
+        auto named = time_before(received.earliest(), each.named_ms_ago);
         if (each.version > newest_before)
-            named = later_lower_bound(named, told.written_after);
-        merge_version(model, { each.version, told.earliest(), named, told.now - Core::Duration(each.known_ms_ago) }, changes);
+            named = later_lower_bound(named, received.written_after);
+        merge_version(model, { each.version, received.earliest(), named, received.now - Core::Duration(each.known_ms_ago) }, changes);
     }
 }
 
--- a/Libraries/LibMembership/IdempotencyKeyOwner.h
+++ b/Libraries/LibMembership/IdempotencyKeyOwner.h
@@ -12,8 +12,8 @@
 
 namespace Membership {
 
-/// Returns the time at which a UUIDv7 was made (RFC 9562, section 5.7), in milliseconds since the epoch; std::nullopt if the text is not a
-/// UUIDv7.
+/// Returns the time at which a UUIDv7 was made (RFC 9562, section 5.7), in milliseconds since the epoch; std::nullopt if the text is
+/// not a UUIDv7.
 std::optional<Core::WallTime> uuid_creation_time(std::string const& uuid);
 
 /// Makes a UUIDv7 from a time and 74 random bits.
@@ -23,6 +23,7 @@
 /// agents in rendezvous order. Empty if there are no agents.
 std::string owner_of_key(std::string const& key, std::vector<std::string> const& agents);
 
+/// The times by which agents agree on the owner of a key.
 struct IdempotencyKeyOwnerSettings {
     /// How long a lease, or a list that an entry has read, is valid.
     Core::Duration lease { 3000 };
@@ -42,6 +43,7 @@
 /// that was made before that time, because the former owner may have run the request.
 class IdempotencyKeyOwner {
 public:
+    /// `self` is the identity of this agent, `service` the service of its backend server, `started_at` the start of this process.
     IdempotencyKeyOwner(std::string self, std::string service, IdempotencyKeyOwnerSettings, Core::WallTime started_at);
 
     /// Applies a newer list, which ends the lease on the older one.
@@ -49,15 +51,16 @@
 
     /// Handles an entry's reply to a ping, and renews the lease if it is confirmed. `sent_at` is the time of the ping by this agent's
     /// clock, so a reply that waited while the agent was paused grants no lease. `list_version` is the version of the entry's list.
-    /// `is_confirmed` says that the entry read that list within the duration of a lease. `agents_unchanged_since` is the time since which the
-    /// entry has seen the same live agents of this service in every list. With it a restarted agent need not wait for former
-    /// owners that never existed.
+    /// `is_confirmed` says that the entry read that list within the duration of a lease. `agents_unchanged_since` is the time since
+    /// which the entry has seen the same live agents of this service in every list. With it a restarted agent need not wait for
+    /// former owners that never existed.
     void on_pong(Core::Time sent_at, int64_t list_version, bool is_confirmed, std::optional<Core::WallTime> agents_unchanged_since = {});
 
     /// Returns std::nullopt if the key's request may run here for the first time, otherwise the reason for refusing it.
     /// KeyBeforeHome and KeyTooOld mean that the request may have run before; every other reason means that it was not run here.
     std::optional<Schema::Reason> refusal(std::string const& key, Core::Time now, Core::WallTime wall_now) const;
 
+    /// Returns true if the list that this agent holds was confirmed within the duration of a lease.
     bool has_lease(Core::Time now) const;
 
 private:
@@ -86,6 +89,7 @@
 /// Records for each service since when an entry has seen the same live agents in consecutive versions of the list.
 class AgentSetHistory {
 public:
+    /// Applies a list that the entry has read. If versions before it were skipped, the time starts anew for every service.
     void on_list(InstanceList const&, Core::WallTime wall_now);
     /// Returns the time since which the live agents of a service are unchanged, or std::nullopt if no agent serves it.
     std::optional<Core::WallTime> since(std::string const& service) const;
--- a/Services/EngineAgent/WeightsLoader.h
+++ b/Services/EngineAgent/WeightsLoader.h
@@ -27,8 +27,8 @@
     Weights::CopyFetcherSettings fetcher;
 };
 
-/// Brings the engine to the goal, which is the version of the weights that the entries last requested: fetches its chunks into this process,
-/// stages them beside the engine, and orders the engine to load them.
+/// Brings the engine to the goal, which is the version of the weights that an entry last requested: fetches its chunks into this
+/// process, stages them beside the engine, and orders the engine to load them.
 ///
 /// While a newer goal is fetched, a complete older version may still be loaded, because each version has its own deadline.
 class WeightsLoader {
@@ -50,11 +50,12 @@
     void set_goal(Schema::WeightsGoal const&);
 
     /// Handles the end of a pause of the process: discards the engine's report and requests a new one. No order is sent to the engine until
-    /// an entry has sent the goal again, or for 3 s.
+    /// an entry has sent the goal again or 3 s have passed.
     void on_resumed();
 
     /// Applies a peer's map of chunks, from which also follows which version its engine serves.
     void on_peer_pieces(std::string const& peer, Schema::PieceMap const&);
+    /// Discards the state of a peer whose link ended.
     void on_peer_down(std::string const& peer);
     /// Applies the map of the chunks that an entry of this region caches for agents.
     void on_cache_pieces(std::string const& cache, Schema::PieceMap const&);
@@ -63,6 +64,7 @@
     /// Returns the maps of the chunks held here of the goal's version, and of an older version that is kept for other instances.
     std::vector<Schema::PieceMap> held() const { return m_fetcher.held(); }
 
+    /// The verified chunks held in this process.
     Distribution::ChunkStore const& store() const { return m_fetcher.store(); }
     /// Answers a peer's HTTP request for the manifest of a version: the digests of its chunks.
     void serve_manifest(Transport::HttpExchange& exchange) const { m_fetcher.serve_manifest(exchange); }
