--- a/Libraries/LibDistribution/RolloutProgress.h
+++ b/Libraries/LibDistribution/RolloutProgress.h
@@ -1,7 +1,7 @@
 // SPDX-License-Identifier: BSD-2-Clause
 #pragma once
 
-#include <LibConfiguration/Fold.h>
+#include <LibConfiguration/ReplayedState.h>
 #include <LibCore/Time.h>
 #include <LibSchema/Generated.h>
 #include <map>
@@ -16,7 +16,7 @@
 public:
     /// Applies a new state of the configuration. A rollout's revision that appears for the first time starts its time measurements at
     /// `now`, and rollouts that were removed are dropped.
-    void on_configuration(Configuration::Fold const&, Core::Time now);
+    void on_configuration(Configuration::ReplayedState const&, Core::Time now);
 
     /// Applies an agent's report. `incarnation` identifies the start of the agent: the byte counters in its reports begin anew with each.
     void on_report(std::string const& instance, int64_t incarnation, Schema::Report const&, Core::Time now);
--- a/Libraries/LibDistribution/StagedLoad.cpp
+++ b/Libraries/LibDistribution/StagedLoad.cpp
@@ -64,7 +64,7 @@
     if (report.started_at_ms)
         m_started_at_ms = report.started_at_ms;
     // An engine that holds a newer version was ordered to load it by someone else. It is never ordered back to this older version.
-    m_is_serving = Configuration::whole_version(report.held, layers) >= m_version;
+    m_is_serving = Configuration::highest_complete_version(report.held, layers) >= m_version;
     if (m_is_serving || has_order_wait_ended)
         m_order_wait_since.reset();
 }
