--- a/Libraries/LibCore/BoundedLog.cpp
+++ b/Libraries/LibCore/BoundedLog.cpp
@@ -6,7 +6,7 @@
 #include <poll.h>
 #include <unistd.h>
 
-// The macros of log4cxx work at the outermost scope, with its names in sight.
+// The macros of log4cxx only work in the global namespace and with the names of log4cxx visible.
 using namespace log4cxx;
 
 class BoundedAppender final : public AppenderSkeleton {
@@ -40,7 +40,7 @@
 namespace Core {
 
 static constexpr Duration flush_interval { 100 };
-// A pipe that is writable takes this many bytes without blocking (POSIX, PIPE_BUF).
+// poll() reports a pipe as writable if this many bytes fit without blocking (PIPE_BUF in POSIX).
 static constexpr size_t most_per_write = 4096;
 static constexpr double milliseconds_per_second = 1000;
 
--- a/Libraries/LibCore/BoundedLog.h
+++ b/Libraries/LibCore/BoundedLog.h
@@ -11,33 +11,39 @@
 
 namespace Core {
 
-/// Lines on their way to a file descriptor that is never waited for.
+/// Buffers log lines and writes them to a file descriptor without ever blocking.
 ///
-/// Routine lines (debug and info) have a rate; warnings and errors have the rest of the buffer to themselves, so that
-/// failures are the last to give way. What was dropped is counted, and told in a line as soon as there is room.
+/// Routine lines (debug and info) are limited to a rate and to half of the buffer. The other half is reserved for warnings and errors, so
+/// that they are dropped last. Dropped lines are counted, and a log line with their number follows once the buffer has free space.
 class BoundedLog {
 public:
+    /// Warnings and errors are dropped while at least this much is buffered.
     static constexpr size_t max_kept_bytes = size_t { 256 } << 10;
+    /// Routine lines are dropped while at least this much is buffered.
     static constexpr size_t max_kept_routine_bytes = size_t { 128 } << 10;
 
+    /// `process` is named in the lines that report dropped lines. The default `descriptor` is standard output.
     BoundedLog(EventLoop&, std::string process, int64_t routine_lines_per_second, int descriptor = 1);
     ~BoundedLog();
     BoundedLog(BoundedLog const&) = delete;
     BoundedLog& operator=(BoundedLog const&) = delete;
 
-    /// Asked before a line is made: false drops and counts it.
+    /// Whether a line of this level may be written now. To be called before the line is formatted; false means that the line counts as
+    /// dropped.
     bool may_write(LogLevel);
 
-    /// Takes a whole line.
+    /// Appends a complete line, with its line break, to the buffer. Does not check the limits: call may_write() first.
     void write(std::string_view line);
 
-    /// Writes as much as the descriptor takes at once.
+    /// Writes as much of the buffer as the descriptor accepts without blocking.
     void flush();
 
+    /// The number of lines dropped since the start.
     uint64_t dropped() const { return m_dropped; }
+    /// The number of bytes in the buffer.
     size_t kept_bytes() const { return m_kept.size(); }
 
-    /// The log4cxx appender that writes here.
+    /// Creates a log4cxx appender that writes to this log, which must outlive its use.
     log4cxx::AppenderPtr appender(log4cxx::LayoutPtr const&);
 
 private:
@@ -48,6 +54,7 @@
     int64_t m_lines_per_second;
     int m_descriptor;
     std::string m_kept;
+    // A token bucket: how many routine lines may still be written now, at most those of one second.
     double m_routine_left;
     Time m_filled_at;
     uint64_t m_dropped { 0 };
--- a/Libraries/LibCore/Error.h
+++ b/Libraries/LibCore/Error.h
@@ -7,12 +7,13 @@
 
 namespace Core {
 
-/// Every way an operation of the project's own can fail.
+/// The kinds of failure that functions of this project return.
 enum class ErrorCode {
     AddressInUse,
     BadCredentials,
     ConnectFailed,
     FileUnreadable,
+    /// Settings that are well-formed but cannot work: an invalid address, an empty mandatory value or two values that contradict each other.
     ImpossibleSettings,
     MalformedJson,
     MalformedMessage,
@@ -20,21 +21,24 @@
     UnknownKey,
     UnreadableField,
     WrongType,
+    /// A number outside its allowed range, often because it was given in another unit.
     WrongUnit,
 };
 
-/// The machine-readable name of a code, as it stands in logs and problem details.
+/// Returns the machine-readable name of a code in snake case, as logs and problem details contain it.
 char const* error_name(ErrorCode);
 
-/// A typed failure. `detail` is for people only: no code branches on it.
+/// A failure: a code for the program and a message for people. No code branches on `detail`.
 struct Error {
     ErrorCode code;
     std::string detail;
 };
 
+/// The result of an operation that can fail: a value of type T or an Error.
 template<typename T>
 using ErrorOr = tl::expected<T, Error>;
 
+/// Makes an Error to return from a function whose return type is ErrorOr.
 inline tl::unexpected<Error> failure(ErrorCode code, std::string detail)
 {
     return tl::unexpected<Error>(Error { code, std::move(detail) });
@@ -42,6 +46,7 @@
 
 namespace Detail {
 
+    // Moves the value out of a result; ErrorOr<void> has none to move.
     template<typename T>
     T take(ErrorOr<T>&& result)
     {
@@ -53,7 +58,7 @@
 
 }
 
-/// Evaluates to the value of an ErrorOr, or returns its error from the enclosing function.
+/// Evaluates to the value of an ErrorOr. If it holds an error, returns that error from the enclosing function.
 #define TRY(expression)                                          \
     ({                                                           \
         auto _result = (expression);                             \
--- a/Libraries/LibCore/EventLoop.cpp
+++ b/Libraries/LibCore/EventLoop.cpp
@@ -23,7 +23,7 @@
 
 void Timer::fired(int, short, void* self)
 {
-    // The callback may destroy its own timer, so it is called through a copy.
+    // The callback may destroy this timer, so a copy of it is called.
     auto callback = static_cast<Timer*>(self)->m_callback;
     callback();
 }
@@ -78,7 +78,7 @@
 
 void EventLoop::run_soon()
 {
-    // What these callbacks add is a turn of its own.
+    // Callbacks that these callbacks add run in the next iteration.
     auto const due = std::exchange(m_soon, {});
     for (auto const& callback : due)
         callback();
--- a/Libraries/LibCore/EventLoop.h
+++ b/Libraries/LibCore/EventLoop.h
@@ -12,10 +12,10 @@
 
 namespace Core {
 
-/// As libevent and sockets take it.
+/// Converts a duration to the type that libevent and socket options use.
 timeval to_timeval(Duration);
 
-/// A timer that ends with its owner.
+/// A timer of an EventLoop. Destroying it cancels it; its own callback may do so too. It must not outlive the loop.
 class Timer {
 public:
     ~Timer();
@@ -32,7 +32,8 @@
     std::function<void()> m_callback;
 };
 
-/// The process's one loop on its one thread, over libevent.
+/// The event loop of a process, built on libevent. All code of the process runs on its single thread. The constructor makes the process
+/// ignore SIGPIPE.
 class EventLoop {
 public:
     EventLoop();
@@ -42,19 +43,23 @@
 
     event_base* base() const { return m_base; }
 
+    /// Calls back repeatedly at the given interval until the timer is destroyed.
     [[nodiscard]] std::unique_ptr<Timer> every(Duration, std::function<void()>);
+    /// Calls back once after the given delay, unless the timer is destroyed before.
     [[nodiscard]] std::unique_ptr<Timer> after(Duration, std::function<void()>);
 
-    /// Runs the callback once in the loop's next turn. What has not run when the loop ends is dropped.
+    /// Runs the callback once in the next iteration of the loop. Callbacks that have not run when the loop is destroyed are dropped.
     void soon(std::function<void()>);
 
-    /// Calls back on SIGTERM and SIGINT, and ignores SIGPIPE.
+    /// Calls back on SIGTERM and SIGINT. To be called once at most.
     void on_stop_signal(std::function<void()>);
 
-    /// Calls back on SIGHUP.
+    /// Calls back on SIGHUP. To be called once at most.
     void on_reload_signal(std::function<void()>);
 
+    /// Runs until stop() is called, also while there is no event to wait for.
     void run();
+    /// Makes run() return after the callback that is running now.
     void stop();
 
 private:
--- a/Libraries/LibCore/Hash.cpp
+++ b/Libraries/LibCore/Hash.cpp
@@ -70,7 +70,7 @@
 
 static uint64_t mix(uint64_t value)
 {
-    // The finaliser of MurmurHash3 spreads every input bit over the whole word.
+    // The finaliser of MurmurHash3: every input bit affects every output bit.
     value ^= value >> 33;
     value *= 0xff51afd7ed558ccdULL;
     value ^= value >> 33;
@@ -91,7 +91,7 @@
 uint64_t stable_hash(std::string_view first, std::string_view second)
 {
     uint64_t state = fnv1a(0xcbf29ce484222325ULL, first);
-    // A separator keeps ("ab", "c") apart from ("a", "bc").
+    // Mixing in a constant between both parts makes ("ab", "c") and ("a", "bc") hash differently.
     state = mix(state ^ 0x9e3779b97f4a7c15ULL);
     return mix(fnv1a(state, second));
 }
--- a/Libraries/LibCore/Log.cpp
+++ b/Libraries/LibCore/Log.cpp
@@ -13,7 +13,7 @@
 
 static log4cxx::LoggerPtr s_logger;
 static std::unique_ptr<BoundedLog> s_bounded;
-// The library prints a quoted letter with its quotes, so the T stands between two dates.
+// log4cxx prints a quoted letter of a date format with its quotes, so the T stands between two date conversions.
 static constexpr char const* s_pattern = R"({"time":"%d{yyyy-MM-dd}{GMT}T%d{HH:mm:ss.SSS}{GMT}Z","level":"%p","process":"%c",%m}%n)";
 
 static log4cxx::LevelPtr to_level(LogLevel level)
@@ -72,7 +72,7 @@
     line["event"] = event;
     for (auto const& [key, value] : fields)
         line[key] = value;
-    // The layout opens and closes the object around these members.
+    // s_pattern already contains the braces of the JSON object, so they are cut off here.
     auto text = line.dump(-1, ' ', false, nlohmann::json::error_handler_t::replace);
     s_logger->forcedLog(to_level(level), text.substr(1, text.size() - 2));
 }
--- a/Libraries/LibCore/Log.h
+++ b/Libraries/LibCore/Log.h
@@ -16,24 +16,25 @@
     Error,
 };
 
-/// A field of a log line: its key and its value.
+/// The key and the value of a field of a log line.
 using LogField = std::pair<char const*, std::string>;
 
-/// Directs logs to standard error or, if `file` is not empty, to a file.
+/// Directs logs of at least the level `least` to standard error or, if `file` is not empty, appends them to that file. Writing may block.
 void configure_log(std::string const& process, LogLevel least, std::string const& file = {});
 
 class EventLoop;
 
 inline constexpr int64_t default_log_lines_per_second = 400;
 
-/// Directs logs to standard output without ever waiting for it: lines that it does not take at once are kept up to a
-/// bound, routine lines beyond `routine_lines_per_second` are dropped before any other, and a line says how many were.
+/// Directs logs of at least the level Info to standard output without ever blocking. Lines that standard output does not accept at once are
+/// buffered up to a limit. Routine lines (debug and info) beyond `routine_lines_per_second` are dropped, and a log line with the event
+/// `log_lines_dropped` reports how many lines were dropped.
 void configure_bounded_log(EventLoop&, std::string const& process, int64_t routine_lines_per_second);
 
-/// Writes what is kept, as far as standard output takes it at once.
+/// Writes the lines buffered by configure_bounded_log(), as far as standard output accepts them without blocking.
 void flush_log();
 
-/// Writes one event as one JSON line through log4cxx.
+/// Writes an event with its fields as one line of JSON. Does nothing until a log is configured.
 void log_event(LogLevel, char const* event, std::initializer_list<LogField> fields = {});
 
 }
--- a/Libraries/LibCore/Metrics.cpp
+++ b/Libraries/LibCore/Metrics.cpp
@@ -5,7 +5,7 @@
 
 namespace Core {
 
-// Ten microseconds to ten minutes in steps of about a fifth.
+// The bins reach from ten microseconds to ten minutes. Each is about a fifth wider than the one below it.
 static constexpr int histogram_bins = 100;
 static constexpr double histogram_low_ms = 0.01;
 static constexpr double histogram_high_ms = 600000;
--- a/Libraries/LibCore/PauseWatch.cpp
+++ b/Libraries/LibCore/PauseWatch.cpp
@@ -6,9 +6,9 @@
 namespace Core {
 
 static constexpr Duration turn_interval { 100 };
-// A loop that is only busy comes round within a tenth of this.
+// A loop that is merely busy completes an iteration within a tenth of this.
 static constexpr Duration shortest_pause { 500 };
-// A loop that turns looks again within this, also where its instance is short of processor time.
+// A running loop checks again within this time, even on an instance that is short of processor time.
 static constexpr Duration longest_turn { 200 };
 
 PauseWatch::PauseWatch(EventLoop& loop)
--- a/Libraries/LibCore/PauseWatch.h
+++ b/Libraries/LibCore/PauseWatch.h
@@ -9,13 +9,14 @@
 
 namespace Core {
 
-/// Notices that the whole process stood still: stopped by a signal, on an instance that froze or was suspended, or short of processor
-/// time.
+/// Detects pauses, times in which the whole process did not run: it was stopped by a signal, its instance was frozen or suspended, or it
+/// got no processor time. A timer of the event loop checks every 100 ms; a gap of at least 500 ms between two checks is a pause.
 ///
-/// What such a process finds in its sockets when it goes on may have been there for as long as it stood still, so nothing
-/// that was read then is as new as the clock says.
+/// Data that the process reads from its sockets after a pause may have arrived at any time during the pause, so its age must not be
+/// computed from the time of reading.
 class PauseWatch {
 public:
+    /// The beginning and the end of a pause on the clock of monotonic_now().
     struct Pause {
         Time began;
         Time ended;
@@ -23,29 +24,32 @@
 
     explicit PauseWatch(EventLoop&);
 
-    /// Called once after each pause of at least `shortest`, with its length. The timers of the loop may be behind what waits in its
-    /// sockets, so whoever reads from these calls look() first.
+    /// Sets the callback that is called once after each pause of at least `shortest` (and at least 500 ms) with the length of the pause.
+    /// After a pause the loop may handle readable sockets before its timers, so code that handles received data calls look() first.
     void on_woke(Duration shortest, std::function<void(Duration)> callback);
 
-    /// Whether a pause has just ended; tells those who want to know.
+    /// Checks whether a pause has just ended, and if so records it and calls the callback.
     void look();
 
-    /// The last pause that is over, also one that ended just now.
+    /// The most recent pause, including one that no check has recorded yet and that then ends at `now`. Empty if there was none.
     std::optional<Pause> last(Time now) const;
 
-    /// How long the process has stood still in all until now, as far as that is more than a busy loop takes for one turn.
+    /// The total time until `now` in which the process did not run. Of each gap between two checks only the part beyond 200 ms counts,
+    /// because a busy loop can take that long for its iterations.
     Duration stood_still(Time now) const;
 
-    /// A clock that does not count the time in which the process stood still: whoever heard nothing then has missed nothing.
+    /// A clock that leaves out the pauses of this process, for timeouts of received data: while the process does not run it cannot receive
+    /// anything, so that time must not count as silence of a peer.
     Time running_time(Time now) const { return now - stood_still(now); }
 
-    /// The earliest time at which something can have come that is read now and was waited for since `waited_since`: now, or
-    /// the beginning of a pause within that wait.
+    /// The earliest time at which data that is read at `now` can have arrived, if the process has waited for it since `waited_since`. This is
+    /// `now`, or where a pause overlapped with that wait, the beginning of the pause or `waited_since`, whichever is later.
     Time earliest_arrival(Time waited_since, Time now) const;
 
 private:
+    // When the last check ran.
     Time m_awake_at;
-    // Until m_awake_at.
+    // The total until m_awake_at.
     Duration m_stood_still { 0 };
     Duration m_shortest_told { 0 };
     std::function<void(Duration)> m_on_woke;
--- a/Libraries/LibSettings/FleetSettings.cpp
+++ b/Libraries/LibSettings/FleetSettings.cpp
@@ -11,7 +11,7 @@
     auto const [ip, port] = Transport::split_address(address);
     in_addr parsed {};
     if (inet_pton(AF_INET, ip.c_str(), &parsed) != 1 || port == 0)
-        return Core::failure(Core::ErrorCode::ImpossibleSettings, path + ": " + key + ": not IP:PORT");
+        return Core::failure(Core::ErrorCode::ImpossibleSettings, path + ": " + key + ": must be an IPv4 address and a port, written as IP:PORT");
     return {};
 }
 
--- a/Libraries/LibSettings/FleetSettings.h
+++ b/Libraries/LibSettings/FleetSettings.h
@@ -8,32 +8,33 @@
 
 namespace Settings {
 
-/// An address as IP:PORT. @return ImpossibleSettings, with the key.
+/// Checks that a setting is an IPv4 address and a port, written as IP:PORT. Fails with ImpossibleSettings; the detail names the file `path`
+/// and the key.
 Core::ErrorOr<void> check_socket_address(std::string const& path, char const* key, std::string const& address);
 
-/// A number that must lie in a range. @return WrongUnit, with the key and the range.
+/// Checks that a setting lies in a range, both ends included. Fails with WrongUnit; the detail names the file `path`, the key and the range.
 Core::ErrorOr<void> check_range(std::string const& path, char const* key, double value, double least, double most);
 
-/// What the settings of one daemon have beyond those that all share.
+/// Checks the settings that only one kind of daemon has, with the same errors as check_socket_address() and check_range().
 Core::ErrorOr<void> check_own(std::string const& path, Schema::DirectEntrySettings const&);
 Core::ErrorOr<void> check_own(std::string const& path, Schema::EngineAgentSettings const&);
 
+// Limits of ports, and of settings that are durations in milliseconds or seconds.
 inline constexpr double least_port = 1;
 inline constexpr double largest_port = 65535;
 inline constexpr double longest_bound_ms = 3600000;
 inline constexpr double longest_bound_s = 3600;
 
-/// Reads and checks a settings file.
-/// @return FileUnreadable, MalformedJson, UnknownKey, WrongType, WrongUnit or ImpossibleSettings; the detail names the
-/// file, the key and the reason.
+/// Reads and checks a daemon's settings file of type T, JSON with comments. Fails with FileUnreadable, MalformedJson, UnknownKey, WrongType,
+/// WrongUnit or ImpossibleSettings; the detail names the file, the key and the reason.
 template<typename T>
 Core::ErrorOr<T> load_fleet_settings(std::string const& path)
 {
     auto settings = TRY(Schema::from_file<T>(path));
     if (settings.identity.empty())
-        return Core::failure(Core::ErrorCode::ImpossibleSettings, path + ": identity: empty");
+        return Core::failure(Core::ErrorCode::ImpossibleSettings, path + ": identity: must not be empty");
     if (settings.key.empty())
-        return Core::failure(Core::ErrorCode::ImpossibleSettings, path + ": key: empty, and no link is made without one");
+        return Core::failure(Core::ErrorCode::ImpossibleSettings, path + ": key: must not be empty, because every link needs a key");
     TRY(check_socket_address(path, "platform_address", settings.platform_address));
     TRY(check_range(path, "link_port", static_cast<double>(settings.link_port), least_port, largest_port));
     TRY(check_range(path, "bounds.version_ms", static_cast<double>(settings.bounds.version_ms), 1, longest_bound_ms));
--- a/Libraries/LibSettings/ProcessMain.cpp
+++ b/Libraries/LibSettings/ProcessMain.cpp
@@ -56,7 +56,7 @@
 bool FileWatch::has_changed()
 {
     auto const written = write_time(m_path);
-    // A file that is gone for a moment says nothing.
+    // A missing file does not count as a change: it may be missing for a moment while it is replaced.
     if (written == m_written || written == std::filesystem::file_time_type::min())
         return false;
     m_written = written;
--- a/Libraries/LibSettings/ProcessMain.h
+++ b/Libraries/LibSettings/ProcessMain.h
@@ -11,29 +11,34 @@
 
 namespace Settings {
 
+// Exit codes of a daemon.
 inline constexpr int exit_ok = 0;
 inline constexpr int exit_bad_settings = 2;
 inline constexpr int exit_cannot_start = 3;
 
-/// What a daemon's command line says.
+/// The parsed command line of a daemon.
 struct DaemonCommand {
     std::string settings_path;
+    /// Set by --check: the daemon checks its settings and exits.
     bool checks_only { false };
 };
 
-/// Reads the command line. Without --settings the path comes from the variable MOUNTBARROW_SETTINGS.
+/// Parses the command line. Without --settings the path is taken from the environment variable MOUNTBARROW_SETTINGS. Exits the process on
+/// an invalid command line and after --help and --version.
 DaemonCommand parse_command(int argc, char** argv, char const* description);
 
-/// Holds SIGHUP back while a process starts: unhandled, it would end it.
+/// Blocks SIGHUP while a process starts, because SIGHUP terminates a process that has no handler for it yet.
 void hold_reload_signal();
-/// Lets a SIGHUP that was held back through. To be called once it is handled.
+
+/// Unblocks SIGHUP and so delivers one that arrived meanwhile. To be called once a handler is installed.
 void release_reload_signal();
 
-/// Tells when a file was written anew: settings may change without a signal.
+/// Detects by its modification time that a file was rewritten, so that changed settings are loaded without a signal.
 class FileWatch {
 public:
     explicit FileWatch(std::string path);
-    /// @return true if the file was written since the last question, or since the start.
+
+    /// Whether the modification time changed since the last call or, at the first call, since construction. False while the file is missing.
     bool has_changed();
 
 private:
@@ -43,13 +48,16 @@
 
 inline constexpr Core::Duration file_watch_interval { 2000 };
 
+/// Prints an error to standard error and returns `code`.
 inline int report_failure(char const* program, Core::Error const& error, int code)
 {
     std::cerr << program << ": " << Core::error_name(error.code) << ": " << error.detail << '\n';
     return code;
 }
 
-/// Runs a daemon: settings, loop, signals. `create` makes the service, which has drain() and reload().
+/// Runs a daemon until its event loop stops, and returns the exit code of the process. Loads the settings of type T, and calls
+/// `create(loop, settings)`, which returns an ErrorOr of a pointer to the service. SIGTERM and SIGINT call the service's drain(). SIGHUP and
+/// a rewritten settings file call its reload() with the result of loading the settings again.
 template<typename T, typename Create>
 int run_process(DaemonCommand const& command, char const* program, Create const& create)
 {
--- a/Libraries/LibSettings/Settings.cpp
+++ b/Libraries/LibSettings/Settings.cpp
@@ -14,14 +14,14 @@
     in_addr parsed {};
     if (inet_pton(AF_INET, address.c_str(), &parsed) == 1)
         return {};
-    return Core::failure(Core::ErrorCode::ImpossibleSettings, path + ": " + key + ": not an IP number");
+    return Core::failure(Core::ErrorCode::ImpossibleSettings, path + ": " + key + ": must be an IPv4 address");
 }
 
 static Core::ErrorOr<void> check_port(std::string const& path, char const* key, int64_t port, int64_t least)
 {
     if (port >= least && port <= largest_port)
         return {};
-    return Core::failure(Core::ErrorCode::ImpossibleSettings, path + ": " + key + ": not a TCP port");
+    return Core::failure(Core::ErrorCode::ImpossibleSettings, path + ": " + key + ": must be a TCP port number, at most 65535");
 }
 
 static Core::ErrorOr<void> check_amount(std::string const& path, char const* key, std::optional<int64_t> const& amount, int64_t least)
@@ -31,18 +31,18 @@
     return Core::failure(Core::ErrorCode::WrongUnit, path + ": " + key + ": must be at least " + std::to_string(least));
 }
 
-/// What both kinds of settings have.
+/// Checks the settings that entries and agents share.
 template<typename T>
 static Core::ErrorOr<void> check_common(std::string const& path, T const& settings)
 {
     if (settings.identity.empty())
-        return Core::failure(Core::ErrorCode::ImpossibleSettings, path + ": identity: empty");
+        return Core::failure(Core::ErrorCode::ImpossibleSettings, path + ": identity: must not be empty");
     TRY(check_address(path, "address", settings.address));
     TRY(check_address(path, "platform_address", settings.platform_address));
     TRY(check_port(path, "http_port", settings.http_port, 0));
     TRY(check_port(path, "platform_port", settings.platform_port, 1));
     if (!settings.key_file)
-        return Core::failure(Core::ErrorCode::ImpossibleSettings, path + ": key_file: missing, and no link is made without a key");
+        return Core::failure(Core::ErrorCode::ImpossibleSettings, path + ": key_file: missing, but every link needs a key");
     TRY(check_amount(path, "list_poll_ms", settings.list_poll_ms, 10));
     TRY(check_amount(path, "log_poll_ms", settings.log_poll_ms, 10));
     TRY(check_amount(path, "lease_ms", settings.lease_ms, 300));
@@ -51,7 +51,7 @@
     TRY(check_amount(path, "drain_ms", settings.drain_ms, 0));
     TRY(check_amount(path, "resume_ms", settings.resume_ms, 0));
     if (settings.list_poll_ms && settings.lease_ms && *settings.list_poll_ms >= *settings.lease_ms)
-        return Core::failure(Core::ErrorCode::ImpossibleSettings, path + ": list_poll_ms, lease_ms: the lease would lapse between two reads of the list");
+        return Core::failure(Core::ErrorCode::ImpossibleSettings, path + ": list_poll_ms must be less than lease_ms: otherwise the lease expires between two reads of the list");
     return {};
 }
 
@@ -66,7 +66,7 @@
     TRY(check_amount(path, "links_per_service", settings.links_per_service, 1));
     TRY(check_amount(path, "retention_ms", settings.retention_ms, 1000));
     if (settings.retry_ratio && (*settings.retry_ratio < 0 || *settings.retry_ratio > 1))
-        return Core::failure(Core::ErrorCode::WrongUnit, path + ": retry_ratio: must lie between 0 and 1");
+        return Core::failure(Core::ErrorCode::WrongUnit, path + ": retry_ratio: must be from 0 to 1");
     return settings;
 }
 
@@ -90,7 +90,7 @@
     TRY(check_amount(path, "once_record_bytes", settings.once_record_bytes, 4096));
     TRY(check_amount(path, "key_lifetime_ms", settings.key_lifetime_ms, 1000));
     if (settings.service.empty())
-        return Core::failure(Core::ErrorCode::ImpossibleSettings, path + ": service: empty");
+        return Core::failure(Core::ErrorCode::ImpossibleSettings, path + ": service: must not be empty");
     return settings;
 }
 
@@ -109,7 +109,7 @@
         else if (role == "reader")
             tokens[token] = OperatorRole::Reader;
         else
-            return Core::failure(Core::ErrorCode::WrongType, path + ": a role is neither \"reader\" nor \"operator\"");
+            return Core::failure(Core::ErrorCode::WrongType, path + ": every role must be \"reader\" or \"operator\"");
     }
     return tokens;
 }
--- a/Libraries/LibSettings/Settings.h
+++ b/Libraries/LibSettings/Settings.h
@@ -10,14 +10,14 @@
 
 namespace Settings {
 
-/// Reads and checks the settings of an entry.
-/// @return FileUnreadable, MalformedJson, UnknownKey, WrongType, WrongUnit or ImpossibleSettings; the detail names the file, the key and the reason.
+/// Reads and checks the settings of an entry, the process that takes callers' requests. Fails with FileUnreadable, MalformedJson, UnknownKey,
+/// WrongType, WrongUnit or ImpossibleSettings; the detail names the file, the key and the reason.
 Core::ErrorOr<Schema::EntrySettings> load_entry(std::string const& path);
 
-/// Reads and checks the settings of an agent; errors as for load_entry().
+/// Reads and checks the settings of an agent, the process beside an engine. Fails like load_entry().
 Core::ErrorOr<Schema::AgentSettings> load_agent(std::string const& path);
 
-/// What a bearer of an operators' token may do.
+/// What a request with an operator's bearer token is allowed to do.
 enum class OperatorRole {
     /// Read and watch.
     Reader,
@@ -25,16 +25,17 @@
     Operator,
 };
 
-/// Reads a JSON object of bearer tokens to `"reader"` or `"operator"`.
+/// Reads a file with a JSON object whose keys are bearer tokens and whose values are `"reader"` or `"operator"`. Fails with FileUnreadable,
+/// MalformedJson or, for any other value, WrongType.
 Core::ErrorOr<std::map<std::string, OperatorRole>> load_tokens(std::string const& path);
 
-/// A setting in milliseconds, or what holds without it.
+/// Returns an optional setting in milliseconds as a duration, or `fallback` if it is not set.
 inline Core::Duration duration_or(std::optional<int64_t> const& milliseconds, Core::Duration fallback)
 {
     return milliseconds ? Core::Duration(*milliseconds) : fallback;
 }
 
-/// The log level named in settings; `info` if none is.
+/// Converts the log level of the settings; Info if it is not set.
 Core::LogLevel log_level(std::optional<Schema::LogLevel> const&);
 
 }
--- a/Tests/LibCore/TestBoundedLog.cpp
+++ b/Tests/LibCore/TestBoundedLog.cpp
@@ -40,7 +40,7 @@
     BoundedLog log(loop, "test", 1000000, m_pipe[1]);
     std::string const line(1000, 'x');
     size_t routine = 0;
-    // Nobody reads the pipe, so all but what it holds is kept here, up to the bound.
+    // Nothing reads from the pipe, so once the pipe is full all lines are buffered, up to the limit.
     for (int i = 0; i < 2000; ++i) {
         if (!log.may_write(LogLevel::Info))
             continue;
--- a/Tests/LibCore/TestPauseWatch.cpp
+++ b/Tests/LibCore/TestPauseWatch.cpp
@@ -6,7 +6,7 @@
 
 using namespace Core;
 
-// Longer than what counts as a pause.
+// Longer than the shortest gap that counts as a pause (500 ms).
 static constexpr std::chrono::milliseconds stand_still { 700 };
 
 TEST(PauseWatch, ALoopThatTurnsHasNoPause)
@@ -23,7 +23,7 @@
     auto const end = loop.after(Duration(250), [&] { loop.stop(); });
     loop.run();
     auto const now = monotonic_now();
-    // The machine itself may keep the test waiting.
+    // A busy machine may delay the test itself, which then is a real pause.
     bool const stood_still = std::max(longest_gap, now - turned_at) > Duration(300);
     EXPECT_TRUE(stood_still || pauses.earliest_arrival(now - Duration(200), now) == now);
 }
@@ -36,7 +36,7 @@
     std::this_thread::sleep_for(stand_still);
     auto const now = monotonic_now();
     EXPECT_LE(pauses.earliest_arrival(Time(0), now), began_by);
-    // What was waited for only since then cannot have come before.
+    // Data cannot have arrived before the wait for it began.
     EXPECT_EQ(pauses.earliest_arrival(now, now), now);
 }
 
@@ -73,7 +73,8 @@
 
 TEST(PauseWatch, TheClockOfDecisionsCountsSuspendedTime)
 {
-    // Only where an instance was suspended since its start do the two differ at all.
+    // CLOCK_BOOTTIME and CLOCK_MONOTONIC differ only if the instance was suspended since it booted, so elsewhere this test cannot tell them
+    // apart.
     timespec boot {};
     clock_gettime(CLOCK_BOOTTIME, &boot);
     auto const before = std::chrono::duration_cast<Time>(std::chrono::seconds(boot.tv_sec) + std::chrono::nanoseconds(boot.tv_nsec));
@@ -91,7 +92,7 @@
     auto const during = monotonic_now();
     EXPECT_LE(pauses.running_time(during) - before, Duration(200));
     pauses.look();
-    // It goes on from there, and never goes back.
+    // After the check the clock continues from the same value and never decreases.
     auto const after = monotonic_now();
     EXPECT_GE(pauses.running_time(after), pauses.running_time(during));
     EXPECT_LE(pauses.running_time(after) - before, Duration(200) + (after - during));
