--- a/Libraries/LibCore/BoundedLog.h
+++ b/Libraries/LibCore/BoundedLog.h
@@ -18,9 +18,9 @@
 class BoundedLog {
 public:
     /// Warnings and errors are dropped while at least this much is buffered.
-    static constexpr size_t max_kept_bytes = size_t { 256 } << 10;
+    static constexpr size_t max_buffered_bytes = size_t { 256 } << 10;
     /// Routine lines are dropped while at least this much is buffered.
-    static constexpr size_t max_kept_routine_bytes = size_t { 128 } << 10;
+    static constexpr size_t max_buffered_routine_bytes = size_t { 128 } << 10;
 
     /// `process` is named in the lines that report dropped lines. The default `descriptor` is standard output.
     BoundedLog(EventLoop&, std::string process, int64_t routine_lines_per_second, int descriptor = 1);
@@ -41,24 +41,24 @@
     /// The number of lines dropped since the start.
     uint64_t dropped() const { return m_dropped; }
     /// The number of bytes in the buffer.
-    size_t kept_bytes() const { return m_kept.size(); }
+    size_t buffered_bytes() const { return m_buffer.size(); }
 
     /// Creates a log4cxx appender that writes to this log, which must outlive its use.
     log4cxx::AppenderPtr appender(log4cxx::LayoutPtr const&);
 
 private:
-    void turn();
-    void tell_dropped();
+    void on_flush_timer();
+    void report_dropped_lines();
 
     std::string m_process;
     int64_t m_lines_per_second;
     int m_descriptor;
-    std::string m_kept;
+    std::string m_buffer;
     // A token bucket: how many routine lines may still be written now, at most those of one second.
-    double m_routine_left;
-    Time m_filled_at;
+    double m_routine_tokens;
+    Time m_refilled_at;
     uint64_t m_dropped { 0 };
-    uint64_t m_told_dropped { 0 };
+    uint64_t m_reported_dropped { 0 };
     std::unique_ptr<Timer> m_timer;
 };
 
--- a/Libraries/LibCore/Error.h
+++ b/Libraries/LibCore/Error.h
@@ -21,7 +21,7 @@
     UnknownKey,
     UnreadableField,
     WrongType,
-    /// A number outside its allowed range, often because it was given in another unit.
+    /// A number outside its allowed range, for instance because it was given in another unit.
     WrongUnit,
 };
 
--- a/Libraries/LibCore/Log.cpp
+++ b/Libraries/LibCore/Log.cpp
@@ -12,7 +12,7 @@
 namespace Core {
 
 static log4cxx::LoggerPtr s_logger;
-static std::unique_ptr<BoundedLog> s_bounded;
+static std::unique_ptr<BoundedLog> s_bounded_log;
 // log4cxx prints a quoted letter of a date format with its quotes, so the T stands between two date conversions.
 static constexpr char const* s_pattern = R"({"time":"%d{yyyy-MM-dd}{GMT}T%d{HH:mm:ss.SSS}{GMT}Z","level":"%p","process":"%c",%m}%n)";
 
@@ -31,7 +31,7 @@
     return log4cxx::Level::getInfo();
 }
 
-void configure_log(std::string const& process, LogLevel least, std::string const& file)
+void configure_log(std::string const& process, LogLevel min_level, std::string const& file)
 {
     s_logger = log4cxx::Logger::getLogger(process);
     auto layout = std::make_shared<log4cxx::PatternLayout>(s_pattern);
@@ -43,30 +43,30 @@
     s_logger->removeAllAppenders();
     s_logger->setAdditivity(false);
     s_logger->addAppender(appender);
-    s_logger->setLevel(to_level(least));
+    s_logger->setLevel(to_level(min_level));
 }
 
 void configure_bounded_log(EventLoop& loop, std::string const& process, int64_t routine_lines_per_second)
 {
     s_logger = log4cxx::Logger::getLogger(process);
-    s_bounded = std::make_unique<BoundedLog>(loop, process, routine_lines_per_second);
+    s_bounded_log = std::make_unique<BoundedLog>(loop, process, routine_lines_per_second);
     s_logger->removeAllAppenders();
     s_logger->setAdditivity(false);
-    s_logger->addAppender(s_bounded->appender(std::make_shared<log4cxx::PatternLayout>(s_pattern)));
+    s_logger->addAppender(s_bounded_log->appender(std::make_shared<log4cxx::PatternLayout>(s_pattern)));
     s_logger->setLevel(log4cxx::Level::getInfo());
 }
 
 void flush_log()
 {
-    if (s_bounded)
-        s_bounded->flush();
+    if (s_bounded_log)
+        s_bounded_log->flush();
 }
 
 void log_event(LogLevel level, char const* event, std::initializer_list<LogField> fields)
 {
     if (!s_logger || !s_logger->isEnabledFor(to_level(level)))
         return;
-    if (s_bounded && !s_bounded->may_write(level))
+    if (s_bounded_log && !s_bounded_log->may_write(level))
         return;
     nlohmann::ordered_json line;
     line["event"] = event;
--- a/Libraries/LibCore/Metrics.cpp
+++ b/Libraries/LibCore/Metrics.cpp
@@ -46,17 +46,17 @@
     return value == series->second.end() ? 0 : value->second;
 }
 
-double Metrics::quantile_ms(std::string const& name, double share) const
+double Metrics::quantile_ms(std::string const& name, double fraction) const
 {
     auto found = m_histograms.find(name);
     if (found == m_histograms.end())
         return 0;
     auto const& histogram = found->second.histogram;
-    double const wanted = share * static_cast<double>(found->second.count);
-    double seen = 0;
+    double const target_count = fraction * static_cast<double>(found->second.count);
+    double cumulative_count = 0;
     for (int bin = -1; bin < histogram_bins; ++bin) {
-        seen += histogram.at(bin);
-        if (seen >= wanted)
+        cumulative_count += histogram.at(bin);
+        if (cumulative_count >= target_count)
             return histogram.axis().bin(bin).upper();
     }
     return histogram_high_ms;
@@ -77,10 +77,10 @@
     }
     for (auto const& [name, series] : m_histograms) {
         out << "# TYPE " << name << " histogram\n";
-        double seen = series.histogram.at(-1);
+        double cumulative_count = series.histogram.at(-1);
         for (int bin = 0; bin < histogram_bins; ++bin) {
-            seen += series.histogram.at(bin);
-            out << name << "_bucket{le=\"" << series.histogram.axis().bin(bin).upper() << "\"} " << seen << '\n';
+            cumulative_count += series.histogram.at(bin);
+            out << name << "_bucket{le=\"" << series.histogram.axis().bin(bin).upper() << "\"} " << cumulative_count << '\n';
         }
         out << name << "_bucket{le=\"+Inf\"} " << series.count << '\n';
         out << name << "_sum " << series.sum << '\n';
--- a/Libraries/LibCore/PauseWatch.cpp
+++ b/Libraries/LibCore/PauseWatch.cpp
@@ -5,53 +5,53 @@
 
 namespace Core {
 
-static constexpr Duration turn_interval { 100 };
+static constexpr Duration pause_check_interval { 100 };
 // A loop that is merely busy completes an iteration within a tenth of this.
 static constexpr Duration shortest_pause { 500 };
 // A running loop checks again within this time, even on an instance that is short of processor time.
-static constexpr Duration longest_turn { 200 };
+static constexpr Duration longest_busy_gap { 200 };
 
 PauseWatch::PauseWatch(EventLoop& loop)
-    : m_awake_at(monotonic_now())
-    , m_timer(loop.every(turn_interval, [this] { look(); }))
+    : m_checked_at(monotonic_now())
+    , m_timer(loop.every(pause_check_interval, [this] { check_for_pause(); }))
 {
 }
 
 std::optional<PauseWatch::Pause> PauseWatch::last(Time now) const
 {
-    if (now - m_awake_at >= shortest_pause)
-        return Pause { m_awake_at, now };
+    if (now - m_checked_at >= shortest_pause)
+        return Pause { m_checked_at, now };
     return m_last;
 }
 
-Duration PauseWatch::stood_still(Time now) const
+Duration PauseWatch::total_paused_time(Time now) const
 {
-    return m_stood_still + std::max(Duration(0), now - m_awake_at - longest_turn);
+    return m_total_paused_time + std::max(Duration(0), now - m_checked_at - longest_busy_gap);
 }
 
-Time PauseWatch::earliest_arrival(Time waited_since, Time now) const
+Time PauseWatch::earliest_arrival(Time waiting_since, Time now) const
 {
     auto const pause = last(now);
-    if (!pause || pause->ended < waited_since)
+    if (!pause || pause->ended < waiting_since)
         return now;
-    return std::max(pause->began, waited_since);
+    return std::max(pause->began, waiting_since);
 }
 
-void PauseWatch::on_woke(Duration shortest, std::function<void(Duration)> callback)
+void PauseWatch::on_resumed(Duration shortest, std::function<void(Duration)> callback)
 {
-    m_shortest_told = shortest;
-    m_on_woke = std::move(callback);
+    m_shortest_reported = shortest;
+    m_on_resumed = std::move(callback);
 }
 
-void PauseWatch::look()
+void PauseWatch::check_for_pause()
 {
     auto const now = monotonic_now();
-    auto const paused_for = now - m_awake_at;
+    auto const paused_for = now - m_checked_at;
     m_last = last(now);
-    m_stood_still = stood_still(now);
-    m_awake_at = now;
-    if (m_on_woke && paused_for >= std::max(m_shortest_told, shortest_pause))
-        m_on_woke(paused_for);
+    m_total_paused_time = total_paused_time(now);
+    m_checked_at = now;
+    if (m_on_resumed && paused_for >= std::max(m_shortest_reported, shortest_pause))
+        m_on_resumed(paused_for);
 }
 
 }
--- a/Libraries/LibSettings/FleetSettings.cpp
+++ b/Libraries/LibSettings/FleetSettings.cpp
@@ -15,32 +15,32 @@
     return {};
 }
 
-Core::ErrorOr<void> check_range(std::string const& path, char const* key, double value, double least, double most)
+Core::ErrorOr<void> check_range(std::string const& path, char const* key, double value, double minimum, double maximum)
 {
-    if (value >= least && value <= most)
+    if (value >= minimum && value <= maximum)
         return {};
-    return Core::failure(Core::ErrorCode::WrongUnit, path + ": " + key + ": must be from " + std::to_string(least) + " to " + std::to_string(most));
+    return Core::failure(Core::ErrorCode::WrongUnit, path + ": " + key + ": must be from " + std::to_string(minimum) + " to " + std::to_string(maximum));
 }
 
-Core::ErrorOr<void> check_own(std::string const& path, Schema::DirectEntrySettings const& settings)
+Core::ErrorOr<void> check_daemon_settings(std::string const& path, Schema::DirectEntrySettings const& settings)
 {
     TRY(check_socket_address(path, "callers_address", settings.callers_address));
     TRY(check_socket_address(path, "readiness_address", settings.readiness_address));
     if (settings.control_address)
         TRY(check_socket_address(path, "control_address", *settings.control_address));
     if (settings.metrics_port)
-        TRY(check_range(path, "metrics_port", static_cast<double>(*settings.metrics_port), least_port, largest_port));
+        TRY(check_range(path, "metrics_port", static_cast<double>(*settings.metrics_port), min_port, max_port));
     TRY(check_range(path, "bounds.retry_ratio", settings.bounds.retry_ratio, 0, 1));
-    return check_range(path, "bounds.retry_window_s", settings.bounds.retry_window_s, 1, longest_bound_s);
+    return check_range(path, "bounds.retry_window_s", settings.bounds.retry_window_s, 1, max_duration_s);
 }
 
-Core::ErrorOr<void> check_own(std::string const& path, Schema::EngineAgentSettings const& settings)
+Core::ErrorOr<void> check_daemon_settings(std::string const& path, Schema::EngineAgentSettings const& settings)
 {
-    static constexpr double least_link = 0.1;
-    static constexpr double largest_link = 1e6;
+    static constexpr double min_link_rate = 0.1;
+    static constexpr double max_link_rate = 1e6;
     TRY(check_socket_address(path, "engine_address", settings.engine_address));
-    TRY(check_range(path, "chunk_port", static_cast<double>(settings.chunk_port), least_port, largest_port));
-    return check_range(path, "link_megabits_per_second", settings.link_megabits_per_second, least_link, largest_link);
+    TRY(check_range(path, "chunk_port", static_cast<double>(settings.chunk_port), min_port, max_port));
+    return check_range(path, "link_megabits_per_second", settings.link_megabits_per_second, min_link_rate, max_link_rate);
 }
 
 }
--- a/Libraries/LibSettings/FleetSettings.h
+++ b/Libraries/LibSettings/FleetSettings.h
@@ -13,17 +13,17 @@
 Core::ErrorOr<void> check_socket_address(std::string const& path, char const* key, std::string const& address);
 
 /// Checks that a setting lies in a range, both ends included. Fails with WrongUnit; the detail names the file `path`, the key and the range.
-Core::ErrorOr<void> check_range(std::string const& path, char const* key, double value, double least, double most);
+Core::ErrorOr<void> check_range(std::string const& path, char const* key, double value, double minimum, double maximum);
 
 /// Checks the settings that only one kind of daemon has, with the same errors as check_socket_address() and check_range().
-Core::ErrorOr<void> check_own(std::string const& path, Schema::DirectEntrySettings const&);
-Core::ErrorOr<void> check_own(std::string const& path, Schema::EngineAgentSettings const&);
+Core::ErrorOr<void> check_daemon_settings(std::string const& path, Schema::DirectEntrySettings const&);
+Core::ErrorOr<void> check_daemon_settings(std::string const& path, Schema::EngineAgentSettings const&);
 
 // Limits of ports, and of settings that are durations in milliseconds or seconds.
-inline constexpr double least_port = 1;
-inline constexpr double largest_port = 65535;
-inline constexpr double longest_bound_ms = 3600000;
-inline constexpr double longest_bound_s = 3600;
+inline constexpr double min_port = 1;
+inline constexpr double max_port = 65535;
+inline constexpr double max_duration_ms = 3600000;
+inline constexpr double max_duration_s = 3600;
 
 /// Reads and checks a daemon's settings file of type T, JSON with comments. Fails with FileUnreadable, MalformedJson, UnknownKey, WrongType,
 /// WrongUnit or ImpossibleSettings; the detail names the file, the key and the reason.
@@ -36,11 +36,11 @@
     if (settings.key.empty())
         return Core::failure(Core::ErrorCode::ImpossibleSettings, path + ": key: must not be empty, because every link needs a key");
     TRY(check_socket_address(path, "platform_address", settings.platform_address));
-    TRY(check_range(path, "link_port", static_cast<double>(settings.link_port), least_port, largest_port));
-    TRY(check_range(path, "bounds.version_ms", static_cast<double>(settings.bounds.version_ms), 1, longest_bound_ms));
-    TRY(check_range(path, "bounds.drain_ms", static_cast<double>(settings.bounds.drain_ms), 1, longest_bound_ms));
-    TRY(check_range(path, "bounds.grace_s", settings.bounds.grace_s, 0, longest_bound_s));
-    TRY(check_own(path, settings));
+    TRY(check_range(path, "link_port", static_cast<double>(settings.link_port), min_port, max_port));
+    TRY(check_range(path, "bounds.version_ms", static_cast<double>(settings.bounds.version_ms), 1, max_duration_ms));
+    TRY(check_range(path, "bounds.drain_ms", static_cast<double>(settings.bounds.drain_ms), 1, max_duration_ms));
+    TRY(check_range(path, "bounds.grace_s", settings.bounds.grace_s, 0, max_duration_s));
+    TRY(check_daemon_settings(path, settings));
     return settings;
 }
 
--- a/Libraries/LibSettings/ProcessMain.cpp
+++ b/Libraries/LibSettings/ProcessMain.cpp
@@ -22,20 +22,20 @@
     return result;
 }
 
-static void set_reload_signal(int how)
+static void set_reload_signal(int operation)
 {
     sigset_t signals;
     sigemptyset(&signals);
     sigaddset(&signals, SIGHUP);
-    sigprocmask(how, &signals, nullptr);
+    sigprocmask(operation, &signals, nullptr);
 }
 
-void hold_reload_signal()
+void block_reload_signal()
 {
     set_reload_signal(SIG_BLOCK);
 }
 
-void release_reload_signal()
+void unblock_reload_signal()
 {
     set_reload_signal(SIG_UNBLOCK);
 }
--- a/Libraries/LibSettings/ProcessMain.h
+++ b/Libraries/LibSettings/ProcessMain.h
@@ -28,10 +28,10 @@
 DaemonCommand parse_command(int argc, char** argv, char const* description);
 
 /// Blocks SIGHUP while a process starts, because SIGHUP terminates a process that has no handler for it yet.
-void hold_reload_signal();
+void block_reload_signal();
 
 /// Unblocks SIGHUP and so delivers one that arrived meanwhile. To be called once a handler is installed.
-void release_reload_signal();
+void unblock_reload_signal();
 
 /// Detects by its modification time that a file was rewritten, so that changed settings are loaded without a signal.
 class FileWatch {
@@ -61,7 +61,7 @@
 template<typename T, typename Create>
 int run_process(DaemonCommand const& command, char const* program, Create const& create)
 {
-    hold_reload_signal();
+    block_reload_signal();
     FileWatch watch(command.settings_path);
     auto settings = load_fleet_settings<T>(command.settings_path);
     if (!settings.has_value())
@@ -76,7 +76,7 @@
     loop.on_stop_signal([&] { (*service)->drain(); });
     auto const reload = [&] { (*service)->reload(load_fleet_settings<T>(command.settings_path)); };
     loop.on_reload_signal(reload);
-    release_reload_signal();
+    unblock_reload_signal();
     auto const watch_timer = loop.every(file_watch_interval, [&] {
         if (watch.has_changed())
             reload();
--- a/Services/DirectEntry/DirectEntry.cpp
+++ b/Services/DirectEntry/DirectEntry.cpp
@@ -125,7 +125,7 @@
     m_hub = std::make_unique<Transport::LinkHub>(loop, std::move(options), link_callbacks());
     m_goal_teller = std::make_unique<GoalTeller>(*m_hub, m_facts.replica(), m_settings.regions);
     keep_weights();
-    m_facts.pauses().on_woke(told_pause, [this](Core::Duration paused_for) { on_woke(paused_for); });
+    m_facts.pauses().on_resumed(told_pause, [this](Core::Duration paused_for) { on_resumed(paused_for); });
     m_tick_timer = loop.every(tick_interval, [this] { tick(); });
     m_link_timer = loop.every(link_check_interval, [this] { check_links(); });
 }
@@ -230,18 +230,18 @@
 
 /// What waits in sockets when the process wakes is as old as the pause is long. Links go with all that they still hold, which their
 /// peers gave up by then; the list, the configuration and the versions are read anew, and until then nothing is sent.
-void DirectEntry::on_woke(Core::Duration paused_for)
+void DirectEntry::on_resumed(Core::Duration paused_for)
 {
     m_metrics.count("mountbarrow_wakes_total");
     Core::log_event(Core::LogLevel::Warn, "woke", { { "paused_ms", std::to_string(paused_for.count()) }, { "in_hand", std::to_string(m_requests.size()) } });
     m_hub->drop_all();
-    m_facts.on_woke();
+    m_facts.on_resumed();
 }
 
 /// The time of a request that is read now: of one that waited in its socket while the process stood still, the beginning of that.
 Core::Time DirectEntry::arrival()
 {
-    m_facts.pauses().look();
+    m_facts.pauses().check_for_pause();
     auto const now = Core::monotonic_now();
     auto const pause = m_facts.pauses().last(now);
     bool const may_have_waited = pause && now - pause->ended <= first_reads_after_pause;
@@ -250,7 +250,7 @@
 
 void DirectEntry::on_link_message(Schema::Hello const& from, Schema::Message const& message)
 {
-    m_facts.pauses().look();
+    m_facts.pauses().check_for_pause();
     // One that waited while the process stood still went with its link.
     if (!m_hub->is_up(from.identity))
         return;
--- a/Services/DirectEntry/DirectEntry.h
+++ b/Services/DirectEntry/DirectEntry.h
@@ -55,7 +55,7 @@
     void on_link_up(Schema::Hello const&);
     void on_link_message(Schema::Hello const&, Schema::Message const&);
     void on_link_down(std::string const& identity);
-    void on_woke(Core::Duration paused_for);
+    void on_resumed(Core::Duration paused_for);
     Core::Time arrival();
     void on_engine_version(std::string const& ip, int64_t version);
     void check_links();
--- a/Services/DirectEntry/EntryFacts.cpp
+++ b/Services/DirectEntry/EntryFacts.cpp
@@ -99,7 +99,7 @@
 
 // Pauses.
 
-void EntryFacts::on_woke()
+void EntryFacts::on_resumed()
 {
     m_woke_at = Core::monotonic_now();
     m_has_heard_peer = false;
@@ -111,7 +111,7 @@
 
 bool EntryFacts::is_awake()
 {
-    m_pauses.look();
+    m_pauses.check_for_pause();
     if (!m_woke_at)
         return true;
     auto const now = Core::monotonic_now();
--- a/Services/DirectEntry/EntryFacts.h
+++ b/Services/DirectEntry/EntryFacts.h
@@ -54,7 +54,7 @@
     Core::PauseWatch& pauses() { return m_pauses; }
 
     /// The process woke from a pause: everything is read anew.
-    void on_woke();
+    void on_resumed();
     /// Whether everything was heard anew since the last pause of the process, or nobody is there who could tell.
     bool is_awake();
 
--- a/Services/EngineAgent/CopyKeeper.cpp
+++ b/Services/EngineAgent/CopyKeeper.cpp
@@ -162,7 +162,7 @@
     m_callbacks.announce(map);
 }
 
-void CopyKeeper::on_woke()
+void CopyKeeper::on_resumed()
 {
     m_woke_at = Core::monotonic_now();
     m_is_polling = false;
@@ -180,7 +180,7 @@
 
 void CopyKeeper::turn()
 {
-    m_callbacks.look();
+    m_callbacks.check_for_pause();
     if (!goal())
         return;
     m_goal.take_next();
@@ -261,7 +261,7 @@
 
 void CopyKeeper::run_load(Core::Time now)
 {
-    m_callbacks.look();
+    m_callbacks.check_for_pause();
     if (!knows_present_goal(now))
         return;
     if (m_older && is_older_load_over(now))
@@ -351,7 +351,7 @@
 
 void CopyKeeper::poll_engine()
 {
-    m_callbacks.look();
+    m_callbacks.check_for_pause();
     if (std::exchange(m_is_polling, true))
         return;
     m_engine.read_report([this, number = ++m_poll_number](Core::ErrorOr<Platform::EngineReport> const& report) {
--- a/Services/EngineAgent/CopyKeeper.h
+++ b/Services/EngineAgent/CopyKeeper.h
@@ -37,7 +37,7 @@
         /// What the engine holds, or whether it is busy, has changed.
         std::function<void()> changed;
         /// Notices a pause of the process that has just ended, before anything is done on what was known before.
-        std::function<void()> look;
+        std::function<void()> check_for_pause;
     };
 
     CopyKeeper(Core::EventLoop&, CopyKeeperSettings, Core::Metrics&, Platform::EngineApi&, Platform::WeightOrigin&, Callbacks);
@@ -49,7 +49,7 @@
 
     /// The process woke from a pause: the engine's report is asked for anew, and no order is given before an entry has said again what
     /// is wanted.
-    void on_woke();
+    void on_resumed();
 
     void on_peer_pieces(std::string const& peer, Schema::PieceMap const&);
     void on_peer_down(std::string const& peer);
--- a/Services/EngineAgent/EngineAgent.cpp
+++ b/Services/EngineAgent/EngineAgent.cpp
@@ -74,8 +74,8 @@
         for (auto const& peer : m_hub->peers(Schema::Role::Agent))
             m_hub->send(peer, message);
     };
-    m_copy = std::make_unique<CopyKeeper>(loop, copy_settings(settings), m_metrics, *m_engine, *m_origin, CopyKeeper::Callbacks { .announce = announce, .changed = [this] { send_state(); }, .look = [this] { m_pauses.look(); } });
-    m_pauses.on_woke(told_pause, [this](Core::Duration paused_for) { on_woke(paused_for); });
+    m_copy = std::make_unique<CopyKeeper>(loop, copy_settings(settings), m_metrics, *m_engine, *m_origin, CopyKeeper::Callbacks { .announce = announce, .changed = [this] { send_state(); }, .check_for_pause = [this] { m_pauses.check_for_pause(); } });
+    m_pauses.on_resumed(told_pause, [this](Core::Duration paused_for) { on_resumed(paused_for); });
     Weights::ChunkServerSettings uploads;
     uploads.bytes_per_second = static_cast<int64_t>(settings.link_megabits_per_second * bytes_per_megabit * upload_part_of_link);
     uploads.at_once = uploads_at_once;
@@ -134,17 +134,17 @@
 }
 
 /// What was read before the pause, and what waits in links, is as old as the pause is long: nothing of it is told or acted on.
-void EngineAgent::on_woke(Core::Duration paused_for)
+void EngineAgent::on_resumed(Core::Duration paused_for)
 {
     m_metrics.count("mountbarrow_wakes_total");
     Core::log_event(Core::LogLevel::Warn, "woke", { { "paused_ms", std::to_string(paused_for.count()) } });
     m_hub->drop_all();
-    m_copy->on_woke();
+    m_copy->on_resumed();
 }
 
 void EngineAgent::on_link_message(Schema::Hello const& from, Schema::Message const& message)
 {
-    m_pauses.look();
+    m_pauses.check_for_pause();
     // One that waited while the process stood still went with its link.
     if (!m_hub->is_up(from.identity))
         return;
@@ -274,7 +274,7 @@
 
 void EngineAgent::send_state_if_changed()
 {
-    m_pauses.look();
+    m_pauses.check_for_pause();
     auto const state = to_state(*m_copy);
     bool const is_same = state.running == m_sent_state.running && state.waiting == m_sent_state.waiting && state.pace == m_sent_state.pace;
     if (Core::monotonic_now() - m_sent_at >= state_repeat)
--- a/Services/EngineAgent/EngineAgent.h
+++ b/Services/EngineAgent/EngineAgent.h
@@ -36,7 +36,7 @@
     Transport::LinkHub::Callbacks link_callbacks();
     void on_link_up(Schema::Hello const&);
     void on_link_message(Schema::Hello const&, Schema::Message const&);
-    void on_woke(Core::Duration paused_for);
+    void on_resumed(Core::Duration paused_for);
     void on_goal(Schema::WeightsGoal const&);
     /// The list that entries go by names this agent's engine.
     bool is_listed() const;
--- a/Tests/LibCore/TestBoundedLog.cpp
+++ b/Tests/LibCore/TestBoundedLog.cpp
@@ -25,7 +25,7 @@
         return text;
     }
 
-    void turn_once(EventLoop& loop)
+    void run_for_150_ms(EventLoop& loop)
     {
         auto const stop = loop.after(Duration(150), [&] { loop.stop(); });
         loop.run();
@@ -34,7 +34,7 @@
     int m_pipe[2] { -1, -1 };
 };
 
-TEST_F(BoundedLogTest, AFloodNeverWaitsIsBoundedAndFailuresGiveWayLast)
+TEST_F(BoundedLogTest, FloodOfLinesStaysBoundedAndDropsErrorsLast)
 {
     EventLoop loop;
     BoundedLog log(loop, "test", 1000000, m_pipe[1]);
@@ -48,7 +48,7 @@
         routine += 1;
     }
     EXPECT_LT(routine, 2000u);
-    EXPECT_LE(log.kept_bytes(), BoundedLog::max_kept_routine_bytes + line.size());
+    EXPECT_LE(log.buffered_bytes(), BoundedLog::max_buffered_routine_bytes + line.size());
     EXPECT_FALSE(log.may_write(LogLevel::Info));
     ASSERT_TRUE(log.may_write(LogLevel::Error));
     log.write("a failure\n");
@@ -56,11 +56,11 @@
         if (log.may_write(LogLevel::Error))
             log.write(line);
     }
-    EXPECT_LE(log.kept_bytes(), BoundedLog::max_kept_bytes + line.size());
+    EXPECT_LE(log.buffered_bytes(), BoundedLog::max_buffered_bytes + line.size());
     EXPECT_GT(log.dropped(), 0u);
 }
 
-TEST_F(BoundedLogTest, WhatWasDroppedIsToldOnceThereIsRoom)
+TEST_F(BoundedLogTest, ReportsDroppedLinesOnceTheBufferHasSpace)
 {
     EventLoop loop;
     BoundedLog log(loop, "test", 1, m_pipe[1]);
@@ -68,7 +68,7 @@
     log.write("one\n");
     EXPECT_FALSE(log.may_write(LogLevel::Info));
     EXPECT_FALSE(log.may_write(LogLevel::Info));
-    turn_once(loop);
+    run_for_150_ms(loop);
     auto const text = read_all();
     EXPECT_NE(text.find("one\n"), std::string::npos);
     EXPECT_NE(text.find(R"("event":"log_lines_dropped","count":"2")"), std::string::npos);
--- a/Tests/LibCore/TestHash.cpp
+++ b/Tests/LibCore/TestHash.cpp
@@ -2,7 +2,7 @@
 #include <LibCore/Hash.h>
 #include <gtest/gtest.h>
 
-TEST(Hash, Sha256OfSlicesIsThatOfTheWhole)
+TEST(Hash, Sha256OfSlicesEqualsSha256OfTheWhole)
 {
     Core::Sha256 hash;
     hash.update("a");
@@ -11,13 +11,13 @@
     EXPECT_EQ(hash.finish(), "ba7816bf8f01cfea414140de5dae2223b00361a396177a9cb410ff61f20015ad");
 }
 
-TEST(Hash, StableHashKeepsItsPartsApart)
+TEST(Hash, StableHashDependsOnWhereTheInputIsSplit)
 {
     EXPECT_NE(Core::stable_hash("ab", "c"), Core::stable_hash("a", "bc"));
     EXPECT_EQ(Core::stable_hash("ab", "c"), Core::stable_hash("ab", "c"));
 }
 
-TEST(Hash, RendezvousOrderMovesOnlyTheLostCandidate)
+TEST(Hash, RemovingACandidateKeepsTheRendezvousOrderOfTheOthers)
 {
     auto const order = Core::rendezvous_order("key", { "a", "b", "c", "d" });
     auto without = order;
--- a/Tests/LibCore/TestPauseWatch.cpp
+++ b/Tests/LibCore/TestPauseWatch.cpp
@@ -7,45 +7,45 @@
 using namespace Core;
 
 // Longer than the shortest gap that counts as a pause (500 ms).
-static constexpr std::chrono::milliseconds stand_still { 700 };
+static constexpr std::chrono::milliseconds pause_length { 700 };
 
-TEST(PauseWatch, ALoopThatTurnsHasNoPause)
+TEST(PauseWatch, RunningLoopHasNoPause)
 {
     EventLoop loop;
     PauseWatch const pauses(loop);
-    auto turned_at = monotonic_now();
+    auto last_iteration_at = monotonic_now();
     Duration longest_gap { 0 };
-    auto const turns = loop.every(Duration(10), [&] {
+    auto const iteration_timer = loop.every(Duration(10), [&] {
         auto const now = monotonic_now();
-        longest_gap = std::max(longest_gap, now - turned_at);
-        turned_at = now;
+        longest_gap = std::max(longest_gap, now - last_iteration_at);
+        last_iteration_at = now;
     });
     auto const end = loop.after(Duration(250), [&] { loop.stop(); });
     loop.run();
     auto const now = monotonic_now();
     // A busy machine may delay the test itself, which then is a real pause.
-    bool const stood_still = std::max(longest_gap, now - turned_at) > Duration(300);
-    EXPECT_TRUE(stood_still || pauses.earliest_arrival(now - Duration(200), now) == now);
+    bool const was_delayed = std::max(longest_gap, now - last_iteration_at) > Duration(300);
+    EXPECT_TRUE(was_delayed || pauses.earliest_arrival(now - Duration(200), now) == now);
 }
 
-TEST(PauseWatch, WhatIsReadRightAfterAPauseMayHaveComeInIt)
+TEST(PauseWatch, DataReadAfterAPauseMayHaveArrivedDuringIt)
 {
     EventLoop loop;
     PauseWatch const pauses(loop);
     auto const began_by = monotonic_now();
-    std::this_thread::sleep_for(stand_still);
+    std::this_thread::sleep_for(pause_length);
     auto const now = monotonic_now();
     EXPECT_LE(pauses.earliest_arrival(Time(0), now), began_by);
     // Data cannot have arrived before the wait for it began.
     EXPECT_EQ(pauses.earliest_arrival(now, now), now);
 }
 
-TEST(PauseWatch, APauseIsRememberedWhenTheLoopTurnsAgain)
+TEST(PauseWatch, PauseIsRecordedWhenTheLoopRunsAgain)
 {
     EventLoop loop;
     PauseWatch const pauses(loop);
     auto const began_by = monotonic_now();
-    std::this_thread::sleep_for(stand_still);
+    std::this_thread::sleep_for(pause_length);
     auto const ended_by = monotonic_now();
     auto const end = loop.after(Duration(250), [&] { loop.stop(); });
     loop.run();
@@ -55,23 +55,23 @@
     EXPECT_EQ(pauses.earliest_arrival(later, later), later);
 }
 
-TEST(PauseWatch, APauseIsToldOnceToWhoeverLooksFirst)
+TEST(PauseWatch, PauseIsReportedOnceByTheFirstCheck)
 {
     EventLoop loop;
     PauseWatch pauses(loop);
-    std::vector<Duration> told;
-    pauses.on_woke(Duration(600), [&](Duration paused_for) { told.push_back(paused_for); });
-    std::this_thread::sleep_for(stand_still);
-    pauses.look();
-    pauses.look();
-    ASSERT_EQ(told.size(), 1u);
-    EXPECT_GE(told[0], stand_still);
+    std::vector<Duration> reported_pauses;
+    pauses.on_resumed(Duration(600), [&](Duration paused_for) { reported_pauses.push_back(paused_for); });
+    std::this_thread::sleep_for(pause_length);
+    pauses.check_for_pause();
+    pauses.check_for_pause();
+    ASSERT_EQ(reported_pauses.size(), 1u);
+    EXPECT_GE(reported_pauses[0], pause_length);
     auto const end = loop.after(Duration(250), [&] { loop.stop(); });
     loop.run();
-    EXPECT_EQ(told.size(), 1u);
+    EXPECT_EQ(reported_pauses.size(), 1u);
 }
 
-TEST(PauseWatch, TheClockOfDecisionsCountsSuspendedTime)
+TEST(PauseWatch, MonotonicClockCountsSuspendedTime)
 {
     // CLOCK_BOOTTIME and CLOCK_MONOTONIC differ only if the instance was suspended since it booted, so elsewhere this test cannot tell them
     // apart.
@@ -83,32 +83,32 @@
     EXPECT_LE(now - before, Duration(5000));
 }
 
-TEST(PauseWatch, TheRunningTimeLeavesOutWhatTheProcessStoodStill)
+TEST(PauseWatch, RunningTimeExcludesPauses)
 {
     EventLoop loop;
     PauseWatch pauses(loop);
     auto const before = pauses.running_time(monotonic_now());
-    std::this_thread::sleep_for(stand_still);
+    std::this_thread::sleep_for(pause_length);
     auto const during = monotonic_now();
     EXPECT_LE(pauses.running_time(during) - before, Duration(200));
-    pauses.look();
+    pauses.check_for_pause();
     // After the check the clock continues from the same value and never decreases.
     auto const after = monotonic_now();
     EXPECT_GE(pauses.running_time(after), pauses.running_time(during));
     EXPECT_LE(pauses.running_time(after) - before, Duration(200) + (after - during));
 }
 
-TEST(PauseWatch, TheRunningTimeHardlyGoesOnInAProcessThatRunsInSlices)
+TEST(PauseWatch, RunningTimeExcludesRepeatedPauses)
 {
     EventLoop loop;
     PauseWatch pauses(loop);
     auto const began = monotonic_now();
     auto const before = pauses.running_time(began);
     for (int slice = 0; slice < 3; ++slice) {
-        std::this_thread::sleep_for(stand_still);
-        pauses.look();
+        std::this_thread::sleep_for(pause_length);
+        pauses.check_for_pause();
     }
     auto const now = monotonic_now();
-    EXPECT_GE(now - began, 3 * stand_still);
+    EXPECT_GE(now - began, 3 * pause_length);
     EXPECT_LE(pauses.running_time(now) - before, Duration(3 * 200) + (monotonic_now() - now));
 }
--- a/Tests/LibSettings/TestFleetSettings.cpp
+++ b/Tests/LibSettings/TestFleetSettings.cpp
@@ -24,14 +24,14 @@
     std::string m_path = testing::TempDir() + "fleet-settings.json";
 };
 
-TEST_F(FleetSettings, GoodOnesAreTaken)
+TEST_F(FleetSettings, ValidSettingsAreAccepted)
 {
     auto const settings = load("", "");
     ASSERT_TRUE(settings.has_value()) << settings.error().detail;
     EXPECT_EQ(settings->link_port, 7700);
 }
 
-TEST_F(FleetSettings, BadOnesAreNamedWithTheirKey)
+TEST_F(FleetSettings, ErrorsNameTheInvalidKey)
 {
     struct Case {
         char const* from;
--- a/Tests/LibSettings/TestProcessMain.cpp
+++ b/Tests/LibSettings/TestProcessMain.cpp
@@ -4,9 +4,9 @@
 #include <fstream>
 #include <gtest/gtest.h>
 
-TEST(ProcessMain, AReloadSignalThatComesWhileAProcessStartsIsHeldBackAndNotLost)
+TEST(ProcessMain, ReloadSignalDuringStartupIsDeliveredLater)
 {
-    Settings::hold_reload_signal();
+    Settings::block_reload_signal();
     std::raise(SIGHUP);
     Core::EventLoop loop;
     int reloads = 0;
@@ -14,12 +14,12 @@
         reloads += 1;
         loop.stop();
     });
-    Settings::release_reload_signal();
+    Settings::unblock_reload_signal();
     loop.run();
     EXPECT_EQ(reloads, 1);
 }
 
-TEST(ProcessMain, AFileThatIsWrittenAnewIsNoticedOnce)
+TEST(ProcessMain, RewrittenFileIsDetectedOnce)
 {
     auto const path = testing::TempDir() + "mountbarrow-watched";
     std::ofstream(path) << "first";
--- a/Tests/LibSettings/TestSettings.cpp
+++ b/Tests/LibSettings/TestSettings.cpp
@@ -48,7 +48,7 @@
     EXPECT_TRUE(load("").has_value());
 }
 
-TEST_F(SettingsTest, EachMistakeNamesTheFileTheKeyAndTheReason)
+TEST_F(SettingsTest, ErrorsNameTheFileTheKeyAndTheReason)
 {
     expect_failure(R"(,"unheard_of":1)", Core::ErrorCode::UnknownKey, "unheard_of");
     expect_failure(R"(,"lease_ms":"3s")", Core::ErrorCode::WrongType, "number");
