--- a/Libraries/LibCore/Log.h
+++ b/Libraries/LibCore/Log.h
@@ -34,7 +34,7 @@
 /// Writes the lines buffered by configure_bounded_log(), as far as standard output accepts them without blocking.
 void flush_log();
 
-/// Writes an event with its fields as one line of JSON. Does nothing until a log is configured.
+/// Writes an event with its fields as one line of JSON through log4cxx. Does nothing until a log is configured.
 void log_event(LogLevel, char const* event, std::initializer_list<LogField> fields = {});
 
 }
--- a/Libraries/LibSettings/FleetSettings.h
+++ b/Libraries/LibSettings/FleetSettings.h
@@ -19,7 +19,7 @@
 Core::ErrorOr<void> check_daemon_settings(std::string const& path, Schema::DirectEntrySettings const&);
 Core::ErrorOr<void> check_daemon_settings(std::string const& path, Schema::EngineAgentSettings const&);
 
-// Limits of ports, and of settings that are durations in milliseconds or seconds.
+// The limits of port numbers, and the longest durations that settings may have, in milliseconds and in seconds.
 inline constexpr double min_port = 1;
 inline constexpr double max_port = 65535;
 inline constexpr double max_duration_ms = 3600000;
