--- a/Libraries/LibCore/PauseWatch.h
+++ b/Libraries/LibCore/PauseWatch.h
@@ -25,7 +25,8 @@
     explicit PauseWatch(EventLoop&);
 
     /// Sets the callback that is called once after each pause of at least `shortest` (and at least 500 ms) with the length of the pause.
-    /// After a pause the loop may handle readable sockets before its timers, so code that handles received data calls check_for_pause() first.
+    /// After a pause the loop may handle readable sockets before its timers, so code that handles received data calls check_for_pause()
+    /// first.
     void on_resumed(Duration shortest, std::function<void(Duration)> callback);
 
     /// Checks whether a pause has just ended, and if so records it and calls the callback.
@@ -35,15 +36,15 @@
     std::optional<Pause> last(Time now) const;
 
     /// The total time until `now` in which the process did not run. Of each gap between two checks only the part beyond 200 ms counts,
-    /// because a busy loop can take that long for its iterations.
+    /// because a running loop may need that long to check again.
     Duration total_paused_time(Time now) const;
 
     /// A clock that leaves out the pauses of this process, for timeouts of received data: while the process does not run it cannot receive
     /// anything, so that time must not count as silence of a peer.
     Time running_time(Time now) const { return now - total_paused_time(now); }
 
-    /// The earliest time at which data that is read at `now` can have arrived, if the process has waited for it since `waiting_since`. This is
-    /// `now`, or where a pause overlapped with that wait, the beginning of the pause or `waiting_since`, whichever is later.
+    /// The earliest time at which data that is read at `now` can have arrived, if the process has waited for it since `waiting_since`.
+    /// This is `now`, or where a pause overlapped with that wait, the beginning of the pause or `waiting_since`, whichever is later.
     Time earliest_arrival(Time waiting_since, Time now) const;
 
 private:
