--- a/Libraries/LibCore/Error.h
+++ b/Libraries/LibCore/Error.h
@@ -13,7 +13,8 @@
     BadCredentials,
     ConnectFailed,
     FileUnreadable,
-    /// Settings that are well-formed but cannot work: an invalid address, an empty mandatory value or two values that contradict each other.
+    /// Settings that are well-formed but cannot work: an invalid address, an empty mandatory value or two values that contradict each
+    /// other.
     ImpossibleSettings,
     MalformedJson,
     MalformedMessage,
--- a/Libraries/LibCore/Log.h
+++ b/Libraries/LibCore/Log.h
@@ -19,7 +19,8 @@
 /// The key and the value of a field of a log line.
 using LogField = std::pair<char const*, std::string>;
 
-/// Directs logs of at least the level `min_level` to standard error or, if `file` is not empty, appends them to that file. Writing may block.
+/// Directs logs of at least the level `min_level` to standard error or, if `file` is not empty, appends them to that file. Writing may
+/// block.
 void configure_log(std::string const& process, LogLevel min_level, std::string const& file = {});
 
 class EventLoop;
--- a/Libraries/LibCore/Metrics.h
+++ b/Libraries/LibCore/Metrics.h
@@ -24,8 +24,8 @@
     /// Returns the value of a counter, or 0 if count() was never called for this name and these labels.
     uint64_t counter(std::string const& name, std::string const& labels = {}) const;
 
-    /// Estimates a quantile of a histogram in milliseconds: the upper edge of the bin in which the given fraction (0 to 1) of the observations
-    /// is reached. Returns 0 if the histogram does not exist.
+    /// Estimates a quantile of a histogram in milliseconds: the upper edge of the bin in which the given fraction (0 to 1) of the
+    /// observations is reached. Returns 0 if the histogram does not exist.
     double quantile_ms(std::string const& name, double fraction) const;
 
     /// Returns all metrics in the Prometheus text format.
--- a/Libraries/LibCore/Time.h
+++ b/Libraries/LibCore/Time.h
@@ -18,7 +18,8 @@
 using WallTime = std::chrono::milliseconds;
 
 /// Reads the clock that all decisions use (CLOCK_BOOTTIME). It keeps counting while the instance is suspended, so the age of an earlier
-/// timestamp is still right after the instance resumes. The steady clock of the C++ library and the timers of the event loop stop meanwhile.
+/// timestamp is still right after the instance resumes. The steady clock of the C++ library and the timers of the event loop stop
+/// meanwhile.
 inline Time monotonic_now()
 {
     timespec now {};
--- a/Libraries/LibSettings/FleetSettings.h
+++ b/Libraries/LibSettings/FleetSettings.h
@@ -12,7 +12,8 @@
 /// and the key.
 Core::ErrorOr<void> check_socket_address(std::string const& path, char const* key, std::string const& address);
 
-/// Checks that a setting lies in a range, both ends included. Fails with WrongUnit; the detail names the file `path`, the key and the range.
+/// Checks that a setting lies in a range, both ends included. Fails with WrongUnit; the detail names the file `path`, the key and the
+/// range.
 Core::ErrorOr<void> check_range(std::string const& path, char const* key, double value, double minimum, double maximum);
 
 /// Checks the settings that only one kind of daemon has, with the same errors as check_socket_address() and check_range().
@@ -25,8 +26,8 @@
 inline constexpr double max_duration_ms = 3600000;
 inline constexpr double max_duration_s = 3600;
 
-/// Reads and checks a daemon's settings file of type T, JSON with comments. Fails with FileUnreadable, MalformedJson, UnknownKey, WrongType,
-/// WrongUnit or ImpossibleSettings; the detail names the file, the key and the reason.
+/// Reads and checks a daemon's settings file of type T, JSON with comments. Fails with FileUnreadable, MalformedJson, UnknownKey,
+/// WrongType, WrongUnit or ImpossibleSettings; the detail names the file, the key and the reason.
 template<typename T>
 Core::ErrorOr<T> load_fleet_settings(std::string const& path)
 {
--- a/Libraries/LibSettings/ProcessMain.h
+++ b/Libraries/LibSettings/ProcessMain.h
@@ -38,7 +38,8 @@
 public:
     explicit FileWatch(std::string path);
 
-    /// Whether the modification time changed since the last call or, at the first call, since construction. False while the file is missing.
+    /// Whether the modification time changed since the last call or, at the first call, since construction. False while the file is
+    /// missing.
     bool has_changed();
 
 private:
@@ -56,8 +57,8 @@
 }
 
 /// Runs a daemon until its event loop stops, and returns the exit code of the process. Loads the settings of type T, and calls
-/// `create(loop, settings)`, which returns an ErrorOr of a pointer to the service. SIGTERM and SIGINT call the service's drain(). SIGHUP and
-/// a rewritten settings file call its reload() with the result of loading the settings again.
+/// `create(loop, settings)`, which returns an ErrorOr of a pointer to the service. SIGTERM and SIGINT call the service's drain(). SIGHUP
+/// and a rewritten settings file call its reload() with the result of loading the settings again.
 template<typename T, typename Create>
 int run_process(DaemonCommand const& command, char const* program, Create const& create)
 {
--- a/Libraries/LibSettings/Settings.h
+++ b/Libraries/LibSettings/Settings.h
@@ -10,8 +10,8 @@
 
 namespace Settings {
 
-/// Reads and checks the settings of an entry, the process that takes callers' requests. Fails with FileUnreadable, MalformedJson, UnknownKey,
-/// WrongType, WrongUnit or ImpossibleSettings; the detail names the file, the key and the reason.
+/// Reads and checks the settings of an entry, the process that takes callers' requests. Fails with FileUnreadable, MalformedJson,
+/// UnknownKey, WrongType, WrongUnit or ImpossibleSettings; the detail names the file, the key and the reason.
 Core::ErrorOr<Schema::EntrySettings> load_entry(std::string const& path);
 
 /// Reads and checks the settings of an agent, the process beside an engine. Fails like load_entry().
