--- a/Libraries/LibSettings/ProcessMain.cpp
+++ b/Libraries/LibSettings/ProcessMain.cpp
@@ -22,20 +22,20 @@
     return result;
 }
 
-static void set_reload_signal(int how)
+static void set_reload_signal(int operation)
 {
     sigset_t signals;
     sigemptyset(&signals);
     sigaddset(&signals, SIGHUP);
-    sigprocmask(how, &signals, nullptr);
+    sigprocmask(operation, &signals, nullptr);
 }
 
-void hold_reload_signal()
+void block_reload_signal()
 {
     set_reload_signal(SIG_BLOCK);
 }
 
-void release_reload_signal()
+void unblock_reload_signal()
 {
     set_reload_signal(SIG_UNBLOCK);
 }
@@ -56,7 +56,7 @@
 bool FileWatch::has_changed()
 {
     auto const written = write_time(m_path);
-    // A file that is gone for a moment says nothing.
+    // A missing file does not count as a change: it may be missing for a moment while it is replaced.
     if (written == m_written || written == std::filesystem::file_time_type::min())
         return false;
     m_written = written;
--- a/Services/DirectEntry/DirectEntry.cpp
+++ b/Services/DirectEntry/DirectEntry.cpp
@@ -126,7 +126,7 @@
     m_hub = std::make_unique<Transport::LinkHub>(loop, std::move(options), link_callbacks());
     m_goal_publisher = std::make_unique<WeightsGoalPublisher>(*m_hub, m_facts.replica(), m_settings.regions);
     create_weights_cache();
-    m_facts.pauses().on_woke(link_losing_pause, [this](Core::Duration paused_for) { handle_pause(paused_for); });
+    m_facts.pauses().on_resumed(link_losing_pause, [this](Core::Duration paused_for) { handle_pause(paused_for); });
     m_tick_timer = loop.every(tick_interval, [this] { tick(); });
     m_link_timer = loop.every(link_check_interval, [this] { check_links(); });
 }
@@ -242,7 +242,7 @@
 /// Arrival time of a request that is read now: the start of the last pause if the request may have waited in its socket during it.
 Core::Time DirectEntry::arrival_time()
 {
-    m_facts.pauses().look();
+    m_facts.pauses().check_for_pause();
     auto const now = Core::monotonic_now();
     auto const pause = m_facts.pauses().last(now);
     bool const may_have_waited = pause && now - pause->ended <= pause_backlog_read_time;
@@ -251,7 +251,7 @@
 
 void DirectEntry::on_link_message(Schema::Hello const& from, Schema::Message const& message)
 {
-    m_facts.pauses().look();
+    m_facts.pauses().check_for_pause();
     // A message that waited during a pause of the process is dropped with its link.
     if (!m_hub->is_up(from.identity))
         return;
--- a/Services/DirectEntry/EntryFacts.cpp
+++ b/Services/DirectEntry/EntryFacts.cpp
@@ -112,7 +112,7 @@
 
 bool EntryFacts::is_current_after_pause()
 {
-    m_pauses.look();
+    m_pauses.check_for_pause();
     if (!m_resumed_at)
         return true;
     auto const now = Core::monotonic_now();
--- a/Services/EngineAgent/EngineAgent.cpp
+++ b/Services/EngineAgent/EngineAgent.cpp
@@ -74,8 +74,8 @@
         for (auto const& peer : m_hub->peers(Schema::Role::Agent))
             m_hub->send(peer, message);
     };
-    m_loader = std::make_unique<WeightsLoader>(loop, weights_loader_settings(settings), m_metrics, *m_engine, *m_origin, WeightsLoader::Callbacks { .announce = announce, .changed = [this] { send_state(); }, .detect_pause = [this] { m_pauses.look(); } });
-    m_pauses.on_woke(shortest_handled_pause, [this](Core::Duration paused_for) { on_resumed(paused_for); });
+    m_loader = std::make_unique<WeightsLoader>(loop, weights_loader_settings(settings), m_metrics, *m_engine, *m_origin, WeightsLoader::Callbacks { .announce = announce, .changed = [this] { send_state(); }, .detect_pause = [this] { m_pauses.check_for_pause(); } });
+    m_pauses.on_resumed(shortest_handled_pause, [this](Core::Duration paused_for) { on_resumed(paused_for); });
     Weights::ChunkServerSettings uploads;
     uploads.bytes_per_second = static_cast<int64_t>(settings.link_megabits_per_second * bytes_per_megabit * upload_part_of_link);
     uploads.max_concurrent_uploads = max_concurrent_uploads;
@@ -144,7 +144,7 @@
 
 void EngineAgent::on_link_message(Schema::Hello const& from, Schema::Message const& message)
 {
-    m_pauses.look();
+    m_pauses.check_for_pause();
     // A message that waited during a pause is dropped together with its link.
     if (!m_hub->is_up(from.identity))
         return;
@@ -273,7 +273,7 @@
 
 void EngineAgent::send_state_if_changed()
 {
-    m_pauses.look();
+    m_pauses.check_for_pause();
     auto const state = to_state(*m_loader);
     bool const is_same = state.running == m_sent_state.running && state.waiting == m_sent_state.waiting && state.pace == m_sent_state.pace;
     if (Core::monotonic_now() - m_sent_at >= state_repetition_interval)
