--- a/Libraries/LibRouting/Admission.cpp
+++ b/Libraries/LibRouting/Admission.cpp
@@ -8,7 +8,7 @@
     auto const* entry = table.find(*dispatch.key);
     if (!entry)
         return {};
-    // A key is one customer's own: another's must not be read through it.
+    // A key belongs to one customer: no other customer may read that customer's answer with it.
     if (entry->customer != dispatch.customer)
         return RefuseNotRun { Schema::Reason::KeyMalformed };
     switch (entry->state) {
@@ -34,7 +34,7 @@
 AdmissionResult admit(Schema::Dispatch const& dispatch, AdmissionView const& view, Membership::KeyHome const& home, OnceTable& table)
 {
     if (dispatch.key) {
-        // What ran before is answered even by an agent that takes no new work.
+        // A request that ran before is answered even by an agent that is draining.
         if (auto earlier = earlier_run(dispatch, table))
             return *earlier;
     }
--- a/Libraries/LibRouting/Admission.h
+++ b/Libraries/LibRouting/Admission.h
@@ -11,38 +11,44 @@
 
 namespace Routing {
 
-/// The request was admitted and may go to the backend server.
+/// The request is admitted and may be sent to the backend server.
 struct Admit { };
 
-/// It was not run by this agent.
+/// The request is refused; this agent has not run it.
 struct RefuseNotRun {
     Schema::Reason reason;
 };
 
-/// It may have run before, here or elsewhere, and is not run now.
+/// The request is refused because an earlier request with the same idempotency key runs, or may have run, here or at another agent.
 struct RefuseUnknown {
     Schema::Reason reason;
 };
 
-/// It ran before; this was the answer.
+/// A request with the same idempotency key ran before; its stored answer is sent again.
 struct Replay {
     KeptAnswer answer;
 };
 
 using AdmissionResult = std::variant<Admit, RefuseNotRun, RefuseUnknown, Replay>;
 
-/// What an agent looks at before it lets a request through.
+/// The state of an agent that decides whether it admits a request.
 struct AdmissionView {
     bool is_draining { false };
+    /// The engine is switching to other weights.
     bool is_switching { false };
+    /// The weights that the engine serves; std::nullopt if it serves none.
     std::optional<Schema::Weights> serving;
+    /// Requests that the backend server runs, and how many it may run at once.
     size_t in_flight { 0 };
     size_t capacity { 0 };
     Core::Time now { 0 };
     Core::WallTime wall_now { 0 };
 };
 
-/// Decides about a dispatch at the moment when it would go to the backend server. A key that is admitted is noted first.
+/// Decides whether a request that an entry dispatched to this agent may be sent to the backend server, at the moment of sending.
+///
+/// A request whose idempotency key is in the table is answered from the table, even if the agent is draining. An admitted request that
+/// has a key is recorded in the table as running before this function returns.
 AdmissionResult admit(Schema::Dispatch const&, AdmissionView const&, Membership::KeyHome const&, OnceTable&);
 
 }
--- a/Libraries/LibRouting/AnswerAssembly.h
+++ b/Libraries/LibRouting/AnswerAssembly.h
@@ -9,27 +9,29 @@
 
 namespace Routing {
 
-/// Puts the parts of one attempt's answer in order. The answer is whole when every part up to the last is there.
+/// Reorders the parts of one attempt's answer by sequence number and drops duplicates.
+/// The answer is whole once every part up to the one marked as last was returned by take_ready().
 class AnswerAssembly {
 public:
     enum class PartResult {
         Taken,
-        /// Held before; dropped.
+        /// A part of this sequence number was received before; this one is dropped.
         Duplicate,
-        /// Behind the last part, too far ahead, or at odds with a part held: the answer cannot be trusted.
+        /// The part lies beyond the last part or beyond the window, or marks another part as last although that contradicts the parts
+        /// received before. The answer cannot be trusted.
         Impossible,
     };
 
     PartResult add(Schema::Part);
 
-    /// Parts that follow without a gap on those taken before.
+    /// Removes and returns the parts that follow, without a gap, those returned before.
     std::vector<Schema::Part> take_ready();
 
-    /// First part not yet taken.
+    /// Sequence number of the first part that take_ready() has not yet returned.
     int64_t next_sequence() const { return m_next; }
     bool is_whole() const { return m_last && m_next > *m_last; }
 
-    /// Parts that may wait behind a gap.
+    /// How far beyond next_sequence() a part's sequence number may lie: bounds the parts that are held because earlier ones are missing.
     static constexpr int64_t window = 4096;
 
 private:
--- a/Libraries/LibRouting/AnswerSilence.h
+++ b/Libraries/LibRouting/AnswerSilence.h
@@ -5,19 +5,21 @@
 
 namespace Routing {
 
-/// Judges whether a backend server that runs a request has fallen silent.
+/// Detects that a backend server that runs a request has sent nothing for longer than a timeout.
 ///
-/// Takes time from a clock that leaves out when the process itself stood still (Core::PauseWatch::running_time), as a server
-/// cannot be heard then. A silence counts from the second look in a row on: by then all was read that lay unread at the first.
+/// All times come from a clock that does not advance while this process is paused (Core::PauseWatch::running_time), because
+/// the process cannot receive anything then. The timeout is reported only if two checks in a row find it exceeded: between them the event
+/// loop has read all bytes that lay unread in the socket at the first check.
 class AnswerSilence {
 public:
-    /// Bytes came, or the connection stood.
+    /// The connection was established, or bytes were received.
     void on_heard(Core::Time running_now);
 
-    /// Looks once a turn of the loop.
-    /// @return whether nothing came for `patience`.
+    /// Checks the timeout; called once per iteration of the event loop.
+    /// @return whether nothing was received for `patience`, at this check and at the one before.
     bool look(Core::Time running_now, Core::Duration patience);
 
+    /// Time since the last on_heard().
     Core::Duration lasts(Core::Time running_now) const { return running_now - m_heard_at; }
 
 private:
--- a/Libraries/LibRouting/AnswerTerms.h
+++ b/Libraries/LibRouting/AnswerTerms.h
@@ -5,24 +5,24 @@
 
 namespace Routing {
 
-/// What an answer is worth to its caller, by when it begins.
+/// Whether an answer reaches its caller within the objective for the time to its first byte, and before the caller stops waiting.
 enum class Timeliness {
-    /// Within the objective, counted from the caller's first try.
+    /// The answer begins within the objective, which is counted from the caller's first request.
     InTime,
-    /// The caller still waits for it.
+    /// The answer begins after the objective, but ends while the caller still waits.
     Late,
-    /// The caller will have gone before it ends.
+    /// The answer ends after the caller has stopped waiting.
     TooLate,
 };
 
-/// Until when the answer to a request is worth what.
+/// The moments by which the answer to one request must begin and end.
 struct AnswerTerms {
-    /// Last moment at which an answer that begins is in time.
+    /// The last moment at which an answer may begin and still meet the objective.
     Core::Time in_time_until { 0 };
-    /// The caller's end of waiting, or the route's.
+    /// When the caller stops waiting, or when the route's timeout ends.
     Core::Time deadline { 0 };
 
-    /// `ends`: the end of an answer that begins at `begins`.
+    /// Classifies an answer that begins at `begins` and ends at `ends`.
     Timeliness of(Core::Time begins, Core::Time ends) const
     {
         if (ends > deadline)
--- a/Libraries/LibRouting/AttemptPolicy.cpp
+++ b/Libraries/LibRouting/AttemptPolicy.cpp
@@ -3,11 +3,12 @@
 
 namespace Routing {
 
-// Less time than this is not worth another send.
+// With less time than this until the deadline, no further attempt is made.
 static constexpr Core::Duration least_time_for_a_send { 30 };
-// Sends that ran nothing are tried again a few times, beside the attempts that the route allows.
+// Attempts in which the request was not run may be repeated this many times, in addition to the attempts that the route allows.
 static constexpr int64_t most_misses = 3;
-// Servers that end are no attempts of the route's. A harmless request meets a second such end seldom and a third hardly ever.
+// Attempts whose server terminated do not count against the attempts that the route allows. A request that does not itself crash
+// servers rarely loses a second server and almost never a third.
 static constexpr int64_t most_ended_servers = 3;
 
 char const* send_end_name(SendEnd end)
--- a/Libraries/LibRouting/AttemptPolicy.h
+++ b/Libraries/LibRouting/AttemptPolicy.h
@@ -6,68 +6,71 @@
 
 namespace Routing {
 
-/// How one send of a request to a backend server ended without a whole, good answer.
+/// How an attempt (one sending of a request to one backend server) ended without a complete, successful answer.
 enum class SendEnd {
-    /// The connection never stood: not one byte was sent.
+    /// The connection was not established: no byte was sent.
     NotConnected,
-    /// The backend server said that it did not run it.
+    /// The backend server answered that it did not run the request.
     NotRun,
-    /// It answered with a failure of its own; the request counts as run.
+    /// The backend server answered with an error; the request counts as run.
     ServerFailure,
-    /// The answer broke off, was no answer, or belonged to another request.
+    /// The answer was cut off, was not a valid answer, or belonged to another request.
     BrokenOff,
-    /// The backend server ended while it ran the request.
+    /// The backend server terminated while it ran the request.
     ServerEnded,
-    /// Nothing came for longer than the request can wait.
+    /// Nothing was received from the backend server for longer than the request can wait.
     Silent,
-    /// It had not begun when the version there became too old to begin on.
+    /// The answer had not begun when the version of the weights on that backend server became too old to begin an answer with.
     Outdated,
 };
 
-/// The name of an end in logs and metrics.
+/// The name of an outcome in logs and metrics.
 char const* send_end_name(SendEnd);
 
-/// What is known of a request when a send has ended.
+/// The state of a request at the end of an attempt.
 struct AttemptState {
     Schema::RouteKind kind { Schema::RouteKind::Once };
     bool is_resumable { false };
-    /// Part of the answer has gone to the caller.
+    /// Part of the answer was sent to the caller.
     bool has_delivered { false };
-    /// Some earlier send may have run.
+    /// A backend server may have run the request in an earlier attempt.
     bool may_have_run { false };
-    /// Sends that reached a backend server, this one included.
+    /// Attempts that count against `max_attempts`, this one included: those that reached a backend server, except those in which it did
+    /// not run the request or terminated.
     int64_t sends { 0 };
     int64_t max_attempts { 1 };
-    /// Sends that ended as not run or not connected, this one included.
+    /// Attempts that ended as NotRun or NotConnected, this one included.
     int64_t misses { 0 };
-    /// Sends to backend servers that ended meanwhile, this one included; `sends` leaves them out.
+    /// Attempts whose backend server terminated while it ran the request, this one included.
     int64_t ended_servers { 0 };
+    /// The retry budget allows another attempt.
     bool has_budget { true };
+    /// Time until the request's deadline.
     Core::Duration remaining { 0 };
 };
 
 enum class NextStep {
     /// Send the request to another backend server, from its start.
     SendAgain,
-    /// Send it on from the last event that the caller has.
+    /// Send it to another backend server, which resumes the stream after the last event that the caller has received.
     Resume,
-    /// Pass the backend server's own failure on.
+    /// Forward the backend server's error to the caller.
     PassFailure,
-    /// Tell the caller that it was not run, and when to come back.
+    /// Answer that the request was not run, and when the caller may retry.
     RefuseNotRun,
-    /// Tell the caller that the outcome is unknown.
+    /// Answer that it is unknown whether the request ran.
     AnswerUnknown,
-    /// Break the answer off, visibly.
+    /// Abort the answer in such a way that the caller notices that it is incomplete.
     BreakOff,
 };
 
-/// True if a second run of the request does no harm.
+/// Whether the request may safely run more than once: it is declared repeatable, or is a stream that can be resumed.
 bool is_repeatable(AttemptState const&);
 
-/// Decides what becomes of a request whose send has ended.
+/// Decides what to do with a request after an attempt has ended.
 ///
-/// A request that may not be repeated is sent again only if it is known that nothing ran, and is refused as not run
-/// only if no send may have run.
+/// A request that is not repeatable is sent again only if no backend server can have run it. It is refused as not run only if
+/// no backend server can have run it in any attempt.
 NextStep next_step(SendEnd, AttemptState const&);
 
 }
--- a/Libraries/LibRouting/CallerDeadlines.cpp
+++ b/Libraries/LibRouting/CallerDeadlines.cpp
@@ -7,16 +7,16 @@
 
 namespace Routing {
 
-// Some ten seconds of a busy route: long enough to remember what callers started with before an outage.
+// Some ten seconds of requests on a busy route: enough to still hold the timeouts that callers started with before an outage.
 static constexpr size_t remembered = 128;
-// Deadlines that differ by less are the same patience: a new connection has used some of it.
+// Wait times that differ by at most this come from the same timeout: connecting to the entry takes a part of the time.
 static constexpr Core::Duration same_patience { 40 };
-// A deadline is common from this part of the recent ones on. During an outage up to nine in ten are later tries, whose
-// deadlines lie apart; callers of unusual patience are fewer than that.
+// A wait time is common if at least one in `common_part` of the recent ones equals it. During an outage up to nine in ten requests are
+// retries, whose remaining times are spread out; callers with an unusually long timeout are fewer than one in ten.
 static constexpr size_t common_part = 10;
 static constexpr size_t least_common = 3;
-// A patience that callers share makes a step among the deadlines: within one span there are more than twice as many as within the
-// next four.
+// A timeout that many callers share shows as a step in the distribution: within one span of `same_patience` there are more than
+// twice as many wait times as within the next four spans together.
 static constexpr int64_t shorter_spans = 4;
 static constexpr int64_t least_step = 2;
 
--- a/Libraries/LibRouting/CallerDeadlines.h
+++ b/Libraries/LibRouting/CallerDeadlines.h
@@ -10,22 +10,23 @@
 
 namespace Routing {
 
-/// Tells how long ago a caller first asked, by how much of its patience is left, where callers show one patience.
+/// Estimates how long ago a caller made its first request, from the time that it still waits, on routes whose callers use the same
+/// timeout.
 ///
-/// Every try of a caller is a request of its own, and says only how long the caller still waits. Where most callers of a
-/// route start with the same patience, one that names less has spent the difference on earlier tries. What most start
-/// with is learned from what is seen: the longest deadline that stands out among those near it. Where patience varies
-/// from caller to caller none stands out, and nothing is concluded.
+/// Each retry of a caller arrives as a separate request, which states only how long the caller still waits. Where most callers of a
+/// route start with the same timeout, a caller that states less has spent the difference on earlier requests. The usual
+/// timeout is learned per route from recent requests: it is the longest value that is clearly more frequent than slightly shorter ones.
+/// Where timeouts vary from caller to caller there is no such value, and every request counts as the caller's first.
 class CallerDeadlines {
 public:
-    /// Notes the deadline that came with a request of a route.
-    /// @return how long before it the caller first asked; 0 where nothing speaks for an earlier try.
+    /// Records the time that the caller of a request still waits.
+    /// @return how long before this request the caller made its first one; 0 if there is no sign of an earlier request.
     Core::Duration on_request(std::string const& route, Core::Duration deadline);
 
 private:
-    /// The longest deadline that stands out among the recent ones; 0 while none does.
+    /// The longest wait time that stands_out() among the recent ones; 0 if none does.
     static Core::Duration usual(std::deque<Core::Duration> const& recent);
-    /// Whether many more are as long as the one at `first` than are a little shorter.
+    /// Whether clearly more wait times are about as long as the one at index `first` than are slightly shorter.
     static bool stands_out(std::vector<Core::Duration> const& longest_first, size_t first);
 
     std::map<std::string, std::deque<Core::Duration>> m_recent;
--- a/Libraries/LibRouting/CrashSuspects.cpp
+++ b/Libraries/LibRouting/CrashSuspects.cpp
@@ -7,21 +7,21 @@
 
 namespace Routing {
 
-// The rule of the users' platform allows three ends before a request must be stopped everywhere.
+// The rules of the users' platform allow three terminated servers before a request must be refused everywhere.
 static constexpr size_t ends_to_run_alone = 2;
 static constexpr size_t ends_to_blame = 3;
-// More tell nothing new of one request.
+// Further terminations add no information about one request.
 static constexpr size_t most_ends = 8;
 // A suspect takes some 300 bytes.
 static constexpr size_t most_suspects = 4096;
 static constexpr size_t most_told = 256;
 static constexpr Core::Duration remembered_for { std::chrono::hours(24) };
-// A request that ended one server and has not come back was most likely only beside the one that did.
+// A request with a single termination that has not been sent again most likely only ran beside the request that crashed the server.
 static constexpr Core::Duration single_end_remembered_for { std::chrono::minutes(10) };
 static constexpr Core::Duration first_blame { std::chrono::hours(1) };
 static constexpr int64_t blame_growth = 4;
 static constexpr int64_t most_growths = 2;
-// The longest that a caller waits is half of this; a peer that has not said by then that a run is over will not say so.
+// Twice the longest time that a caller waits: if another entry has not announced the end of a run by then, it will not do so.
 static constexpr Core::Duration longest_peer_run { 60000 };
 
 static Core::Duration blame_lasts(int64_t times_blamed)
@@ -65,7 +65,7 @@
 {
     if (m_suspects.size() < most_suspects)
         return;
-    // The one that matters least: not blamed, of the fewest ends, the oldest.
+    // Evicts the least important suspect: not blamed if possible, then with the fewest terminations, then the oldest.
     auto const least = std::min_element(m_suspects.begin(), m_suspects.end(), [](auto const& a, auto const& b) {
         auto const weight = [](Suspect const& each) { return std::tuple(each.blamed_at.has_value(), each.known.ends.size(), each.last_end); };
         return weight(a.second) < weight(b.second);
@@ -74,7 +74,8 @@
     count_blamed();
 }
 
-/// @return true if it is news.
+/// Adds a termination to a suspect's record.
+/// @return whether it is new: of another server incarnation, or the first report that the suspect ran alone there.
 bool CrashSuspects::take_end(Suspect& suspect, Schema::EndedRun const& end, Core::Time now)
 {
     auto& ends = suspect.known.ends;
@@ -89,15 +90,15 @@
         ends.push_back(end);
         return true;
     }
-    // Copies that were under way together may have filled the record, and only an end by itself can blame.
+    // Copies that ran at the same time may have filled the record, and only a termination while it ran alone can lead to blame.
     auto const replaced = std::find_if(ends.begin(), ends.end(), [](auto const& each) { return !each.alone; });
     if (end.alone && replaced != ends.end())
         *replaced = end;
     return true;
 }
 
-/// Blames the request if enough speaks against it.
-/// @return true if it is blamed and was not before.
+/// Blames the request if its record requires it.
+/// @return true if it is blamed now and never was since it was last cleared.
 bool CrashSuspects::judge(std::string const& digest, Core::Time now)
 {
     auto const found = m_suspects.find(digest);
@@ -161,7 +162,7 @@
     return was_blamed ? std::vector<std::string> {} : std::vector { told.digest };
 }
 
-// What one request is to blame for says nothing of those that ran beside it.
+// A termination that is attributed to a blamed request is no evidence against the requests that ran beside it.
 
 bool CrashSuspects::is_explained_by_others(Suspect const& suspect, Schema::EndedRun const& end) const
 {
@@ -186,7 +187,7 @@
         explain(suspect);
 }
 
-/// Of those that are blamed, one that ended no server by itself alone was only beside the others.
+/// Releases blamed requests whose terminations are all in the records of other blamed requests: they only ran beside those.
 void CrashSuspects::release_explained()
 {
     count_blamed();
@@ -273,7 +274,7 @@
     return servers;
 }
 
-// What others learn.
+// Announcements.
 
 Schema::CrashSuspect CrashSuspects::to_tell(std::string const& digest, Core::Time now) const
 {
--- a/Libraries/LibRouting/CrashSuspects.h
+++ b/Libraries/LibRouting/CrashSuspects.h
@@ -11,91 +11,96 @@
 
 namespace Routing {
 
-/// What may be done with a request, as far as it is suspected of ending servers.
+/// How a request is to be treated, by how many backend servers terminated while they ran it.
 enum class CrashStanding {
     Clear,
-    /// A server ended while it ran the request, and others: one copy of it at a time goes out from each entry.
+    /// One server terminated while it ran the request: each entry sends one copy of it at a time.
     Suspected,
-    /// Two or more did: it runs by itself, one copy in the whole fleet, on a server that runs no other suspect.
+    /// Two or more servers did: it runs alone, which means one copy in the whole fleet, on a server that runs no other suspect.
     RunsAlone,
-    /// One of three or more ended when it ran by itself: it is refused.
+    /// Three or more servers did, at least one of them while the request ran alone: the request is refused.
     Blamed,
 };
 
-/// How a request went out, as far as it is a suspect.
+/// The restrictions under which an attempt of a request was sent.
 enum class CrashSend {
-    /// It is none.
+    /// None: the request was no suspect.
     Free,
-    /// No other copy goes out from this entry meanwhile.
+    /// This entry sends no other copy until the attempt ends.
     Suspect,
-    /// It runs by itself: no other suspect goes to its server meanwhile, and no other copy out anywhere.
+    /// The request runs alone: until the attempt ends, no other suspect is sent to its server, and no entry sends another copy.
     Alone,
 };
 
-/// Which requests end the servers that run them: what one entry knows, of its own sends and from other entries.
+/// Detects requests that crash the backend servers that run them, from the attempts of this entry and from the announcements of others.
+/// Such a request is blamed: it is refused because servers kept terminating while they ran it. Requests are identified by request_digest().
 ///
-/// All that a server runs when it ends are suspects, so most of them are harmless. Whatever runs to its end is cleared. One that was
-/// there at two ends is put to the test by itself, and only the end of that server makes it to blame: several servers that lose power
-/// together blame nobody. An end for which one is blamed counts against no other; and one whose ends are all explained by others that
-/// were blamed later is blamed no more.
+/// All requests that a server runs when it terminates become suspects, so most suspects are harmless. A suspect whose answer completes is
+/// cleared. A suspect of two terminations runs alone, and is blamed only if a server terminates while it runs alone: servers that lose
+/// power together lead to no blame. A termination that a blamed request has in its record does not count against other requests. A
+/// blamed request is released if each of its terminations is also in the record of another blamed request.
 ///
-/// A blamed request is tried once more by itself when an hour is over, then four hours, then sixteen, so that a wrong blame
-/// does not last for good and a right one costs three servers a day.
+/// A blamed request may run alone once more after one hour, then after four hours, then after sixteen each time. So a wrong blame does not
+/// last for ever, and a right one costs three servers a day.
 class CrashSuspects {
 public:
-    /// How one request fared on a server that ended.
+    /// A request that a server ran when it terminated.
     struct Run {
         std::string digest;
         bool was_alone { false };
     };
 
+    /// Whether there are no suspects; count() is their number, blamed ones included.
     bool is_empty() const { return m_suspects.empty(); }
     size_t count() const { return m_suspects.size(); }
     size_t blamed_count() const { return m_blamed; }
     CrashStanding standing(std::string const& digest, Core::Time now) const;
-    /// Servers that ended under the request; null if it is no suspect.
+    /// The record of servers that terminated while they ran the request; nullptr if it is no suspect.
     Schema::CrashSuspect const* find(std::string const& digest) const;
 
-    /// An incarnation of a server ended while it ran these. @return the requests that are blamed for the first time since they
-    /// were last cleared.
+    /// Records that an incarnation of a server terminated while it ran the given requests.
+    /// @return the digests of requests that are now blamed for the first time since they were last cleared.
     std::vector<std::string> on_server_ended(std::string const& incarnation, std::vector<Run> const&, Core::Time now);
-    /// What another entry knows, or an earlier one knew. @return as above.
+    /// Merges a suspect that another entry announced, or that an earlier incarnation of this one stored. @return as on_server_ended().
     std::vector<std::string> merge(Schema::CrashSuspect const&, Core::Time now);
-    /// The request ran to its end, or the operator says that it may. @return false if it was no suspect.
+    /// Removes a suspect because its answer completed, or on the operator's order. @return false if it was no suspect.
     bool clear(std::string const& digest);
 
-    /// Whether a copy of the request may go out from this entry now.
+    /// Whether this entry may send a copy of the request now.
     bool may_send(std::string const& digest, Core::Time now) const;
-    /// This entry sends the request.
+    /// Records that this entry sends the request to a server. @return the restrictions that hold until on_send_over().
     CrashSend on_sent(std::string const& digest, std::string const& server, Core::Time now);
-    /// A send that did not go out as Free has ended, however it did.
+    /// Records that an attempt for which on_sent() did not return Free has ended, with whatever outcome.
     void on_send_over(std::string const& digest) { m_own.erase(digest); }
+    /// Another entry announced that it has sent a suspect, or that the attempt is over.
     void on_peer_run(std::string const& entry, Schema::SuspectRun const&, Core::Time now);
+    /// Forgets the runs of an entry that is no longer reachable.
     void on_peer_gone(std::string const& entry);
 
-    /// Servers on which suspects run that were sent from here or by others: all such, or those on which one runs by itself.
+    /// Which runs servers_with_suspects() considers: those of all suspects, or only of suspects that run alone.
     enum class Among {
         AllRuns,
         LoneRuns,
     };
+    /// The servers that run suspects, as sent by this entry and by others.
     std::set<std::string> servers_with_suspects(Among, Core::Time now) const;
 
-    /// What an entry that comes must know: the suspects, first those that most speaks against.
+    /// Up to 256 suspects to announce to an entry that has just connected: first the blamed ones, then those with most terminations.
     std::vector<Schema::CrashSuspect> worth_telling(Core::Time now) const;
-    /// The suspects that run, sent from here.
+    /// The suspects that this entry has sent and that still run.
     std::vector<Schema::SuspectRun> own_runs() const;
-    /// All suspects, for the operator.
+    /// All suspects, as shown to the operator.
     std::vector<Schema::CrashSuspect> all(Core::Time now) const;
-    /// What another entry may learn of one request.
+    /// The record of one request, to announce to other entries; without terminations if it is no suspect.
     Schema::CrashSuspect to_tell(std::string const& digest, Core::Time now) const;
 
-    /// Forgets what is too old to matter.
+    /// Removes suspects without a new termination for 24 hours (10 minutes after a single one), and other entries' runs after 60 s.
     void forget_old(Core::Time now);
 
 private:
     struct Suspect {
         Schema::CrashSuspect known;
-        // Of its ends those for which no other is blamed.
+        // The terminations in `known` that are in the record of no other blamed request.
         std::vector<Schema::EndedRun> unexplained;
         Core::Time last_end { 0 };
         std::optional<Core::Time> blamed_at;
@@ -121,9 +126,9 @@
 
     std::map<std::string, Suspect> m_suspects;
     size_t m_blamed { 0 };
-    // Suspects that this entry has sent, by digest.
+    // Running suspects that this entry has sent, by digest.
     std::map<std::string, SuspectRun> m_own;
-    // Those of other entries, by entry and digest.
+    // Running suspects that other entries have sent, by entry and digest.
     std::map<std::pair<std::string, std::string>, SuspectRun> m_peers;
 };
 
--- a/Libraries/LibRouting/DemandShares.cpp
+++ b/Libraries/LibRouting/DemandShares.cpp
@@ -7,7 +7,7 @@
 
 static constexpr double smoothing = 0.4;
 static constexpr double least_kept_per_second = 0.01;
-// Demand that an entry counts as having anyway, so that a customer who turns to it next finds something there.
+// Added to the demand of every entry, so that a customer who switches to another entry finds a part of the limit there.
 static constexpr double base_per_second = 1;
 static constexpr size_t most_told = 16;
 static constexpr Core::Duration heard_lifetime { 5000 };
--- a/Libraries/LibRouting/DemandShares.h
+++ b/Libraries/LibRouting/DemandShares.h
@@ -9,26 +9,27 @@
 
 namespace Routing {
 
-/// Splits each customer's limits among the entries by the demand that each one sees, without a coordinator:
-/// every entry tells the others, by way of a few agents, what its customers ask of it.
+/// Splits each customer's limits among the entries in proportion to the demand (requests per second) that each entry sees, without a
+/// coordinator: every entry announces its customers' demand to the other entries through a few agents.
 class DemandShares {
 public:
-    /// How often demand is measured anew.
+    /// How often end_interval() is to be called.
     static constexpr Core::Duration interval { 1000 };
 
-    /// A request was offered, whether or not it passes.
+    /// Counts a request that arrived at this entry, whether or not it is admitted.
     void on_offered(std::string const& customer);
 
-    /// Ends an interval of measurement.
+    /// Ends a measurement interval: updates the smoothed demand of each customer.
     void end_interval();
 
-    /// The customers with most demand here, bounded.
+    /// Demand at this entry, of the 16 customers with the highest demand, to announce to the other entries.
     std::vector<Schema::Demand> own() const;
 
-    /// Another entry's word of its demand.
+    /// Replaces what is known of another entry's demand by what that entry announced.
     void on_heard(std::string const& entry, std::vector<Schema::Demand> const&, Core::Time now);
 
-    /// This entry's share (0 to 1) of a customer's limits. An entry that was not heard of late is left an even part.
+    /// This entry's share (0 to 1) of a customer's limits. For each of the `live_entries` from which nothing was received for 5 s,
+    /// an equal part is set aside.
     double share(std::string const& customer, size_t live_entries, Core::Time now) const;
 
 private:
--- a/Libraries/LibRouting/EventStream.cpp
+++ b/Libraries/LibRouting/EventStream.cpp
@@ -3,7 +3,7 @@
 
 namespace Routing {
 
-/// The place behind the blank line that ends the first event at or after `from`; npos if there is none yet.
+/// The offset after the first blank line at or after `from`; npos if there is none yet.
 static size_t event_end(std::string const& text, size_t from)
 {
     for (auto line_end = text.find('\n', from); line_end != std::string::npos; line_end = text.find('\n', line_end + 1)) {
@@ -17,7 +17,7 @@
 
 std::vector<std::string> EventStream::feed(std::string_view bytes)
 {
-    // The end may begin up to two bytes before what is new.
+    // The blank line may begin in the bytes that were searched before.
     static constexpr size_t overlap = 3;
     m_pending.append(bytes);
     std::vector<std::string> events;
--- a/Libraries/LibRouting/EventStream.h
+++ b/Libraries/LibRouting/EventStream.h
@@ -7,14 +7,14 @@
 
 namespace Routing {
 
-/// Cuts the bytes of an event stream (text/event-stream, WHATWG HTML section 9.2) into whole events.
-/// What an engine leaves unfinished stays here and never reaches a caller.
+/// Splits the bytes of an event stream (text/event-stream, WHATWG HTML section 9.2) into complete events.
+/// An event that the engine leaves incomplete is held back and never reaches a caller.
 class EventStream {
 public:
-    /// An event that never ends is no event: the stream is given up past this many bytes.
+    /// The largest incomplete event, in bytes. Callers drop a stream that is_overgrown(), since such an event may never end.
     static constexpr size_t max_event_bytes = size_t { 1 } << 20;
 
-    /// Adds bytes, and returns the events that they complete, blank line included.
+    /// Appends received bytes. @return the events that they complete, each with the blank line that ends it.
     std::vector<std::string> feed(std::string_view bytes);
 
     bool has_partial_event() const { return !m_pending.empty(); }
@@ -22,7 +22,7 @@
 
 private:
     std::string m_pending;
-    // Bytes of m_pending in which no event's end was found.
+    // Number of bytes at the start of m_pending that were searched and contain no end of an event.
     size_t m_searched { 0 };
 };
 
--- a/Libraries/LibRouting/LeftoverPace.h
+++ b/Libraries/LibRouting/LeftoverPace.h
@@ -6,13 +6,14 @@
 
 namespace Routing {
 
-/// How often a request that is late already gets a place, where those that can be in time go first.
+/// Estimates the interval at which spare slots become available to late requests. A request is late if its answer can no longer begin
+/// within the objective; requests that can still meet the objective get slots first.
 class LeftoverPace {
 public:
-    /// Late requests wait from now on: time that passes before the first of them gets a place counts.
+    /// The first late request begins to wait: the next interval is counted from `now`.
     void on_first_waiting(Core::Time now) { m_last = now; }
 
-    /// A late request got a place while others may still wait.
+    /// A late request was sent to a spare slot: ends an interval and begins the next.
     void on_sent(Core::Time now)
     {
         auto const gap = static_cast<double>((now - m_last).count());
@@ -20,8 +21,8 @@
         m_last = now;
     }
 
-    /// Expected time between two places; `usual` is taken until one was seen. A wait that has lasted longer already
-    /// counts as it stands.
+    /// Expected time between two spare slots: the smoothed interval, or `usual` until one interval was measured. If the current interval
+    /// is already longer, its length so far.
     Core::Duration gap(Core::Time now, Core::Duration usual) const
     {
         auto const seen = m_gap_ms < 0 ? usual : Core::Duration(static_cast<int64_t>(m_gap_ms));
@@ -29,7 +30,7 @@
     }
 
 private:
-    // Some ten places make the estimate.
+    // The estimate averages over about ten intervals.
     static constexpr double weight = 0.1;
 
     Core::Time m_last { 0 };
--- a/Libraries/LibRouting/Limits.cpp
+++ b/Libraries/LibRouting/Limits.cpp
@@ -75,7 +75,7 @@
         state.is_configured = true;
         apply_share(state);
     }
-    // A customer that was removed is forgotten once its last request has ended.
+    // A customer that was removed from the configuration is kept while it has requests in flight.
     std::erase_if(m_customers, [&](auto const& entry) { return !customers.contains(entry.first) && entry.second.in_flight == 0; });
 }
 
@@ -90,7 +90,7 @@
 
 void CustomerLimits::apply_share(State& state)
 {
-    // Below one request of burst nothing would ever pass.
+    // With a burst below one request, no request would ever be admitted.
     state.bucket.set(state.spec.requests_per_second * state.share, std::max(1.0, state.spec.burst * state.share));
 }
 
--- a/Libraries/LibRouting/Limits.h
+++ b/Libraries/LibRouting/Limits.h
@@ -10,16 +10,20 @@
 
 namespace Routing {
 
-/// A bucket of tokens that fills at a rate up to a burst.
+/// A token bucket: fills at `per_second` tokens a second, up to `burst` tokens. It starts full.
 class TokenBucket {
 public:
     TokenBucket(double per_second, double burst);
 
+    /// Changes rate and burst. The tokens are kept, up to the new burst; a bucket whose burst was 0 is filled.
     void set(double per_second, double burst);
+    /// @return false, without taking any, if there are fewer than `tokens`.
     bool take(double tokens, Core::Time now);
+    /// Returns tokens to the bucket, up to the burst.
     void give(double tokens);
-    /// Time until that many tokens are there.
+    /// Time until `tokens` are available; one minute if the rate is 0.
     Core::Duration wait_for(double tokens, Core::Time now);
+    /// Tokens available now.
     double level(Core::Time now);
 
 private:
@@ -31,20 +35,23 @@
     std::optional<Core::Time> m_filled_at;
 };
 
-/// Rate and concurrency of each customer at one entry: its limits over all entries, times this entry's share.
+/// Limits each customer's request rate and concurrency at one entry: to the customer's limits over all entries, times this entry's share.
 class CustomerLimits {
 public:
     struct Refusal {
         Schema::Reason reason;
+        /// How long the caller should wait before it retries.
         Core::Duration retry_after;
     };
 
-    /// Takes over the configured customers. A customer that is not configured is refused once any is.
+    /// Replaces the configured customers. While none is configured, every customer is admitted without limits; otherwise a customer that
+    /// is not configured is refused.
     void set_customers(std::map<std::string, Schema::CustomerSpec> const&);
     /// This entry's share (0 to 1) of a customer's limits; 1 until it is set.
     void set_share(std::string const& customer, double share);
 
-    /// Counts a request in, or says why not. Every request counted in must be counted out by finish().
+    /// Admits a request and counts it as in flight, until finish() is called for it.
+    /// @return std::nullopt if it is admitted, otherwise the reason.
     std::optional<Refusal> start(std::string const& customer, Core::Time now);
     void finish(std::string const& customer);
 
@@ -55,7 +62,8 @@
         Schema::CustomerSpec spec;
         TokenBucket bucket { 0, 0 };
         size_t in_flight { 0 };
-        // False for one that is only known by requests in flight, from before any was configured or after its removal.
+        // False for a customer that is kept only because it has requests in flight, admitted before any customer was configured or
+        // before this one was removed.
         bool is_configured { false };
         double share { 1 };
     };
@@ -67,16 +75,17 @@
     std::map<std::string, State> m_customers;
 };
 
-/// Bounds retries to a share of recent requests, so that a failing system is not loaded further by them.
+/// Limits retries to a ratio of the requests, so that retries don't add much load to a failing system.
 class RetryBudget {
 public:
+    /// `ratio`: retries per request.
     explicit RetryBudget(double ratio);
 
     void on_request();
-    /// True if a retry may be made; it is then paid for.
+    /// @return whether a retry may be made; if so, it is deducted from the budget.
     bool take();
 
-    /// Retries that a quiet entry may make at once.
+    /// The most retries that the budget accumulates, and that it starts with.
     static constexpr double most_saved = 10;
 
 private:
@@ -84,7 +93,7 @@
     double m_saved { most_saved };
 };
 
-/// A time to come back that is spread over one to two times `base`, so that callers refused together do not return together.
+/// A random retry-after time between one and two times `base`, so that callers refused together don't retry together.
 Core::Duration spread_retry_after(Core::Duration base, std::mt19937_64&);
 
 }
--- a/Libraries/LibRouting/OnceTable.cpp
+++ b/Libraries/LibRouting/OnceTable.cpp
@@ -30,7 +30,7 @@
 
 void OnceTable::forget(std::string const& key)
 {
-    // Its row in the order of age stays and is passed over when its time comes.
+    // Its row in m_by_age stays until expire() reaches it, and is skipped there.
     if (m_entries.erase(key) > 0)
         m_bytes -= bytes_per_key;
 }
@@ -65,7 +65,7 @@
             m_bytes -= bytes_per_key + found->second.answer.body.size();
             m_entries.erase(found);
         } else if (found != m_entries.end()) {
-            // A key that still runs is looked at again a lifetime later.
+            // A key that is still Running is checked again one lifetime later.
             m_by_age.emplace_back(now, m_by_age.front().second);
         }
         m_by_age.pop_front();
--- a/Libraries/LibRouting/OnceTable.h
+++ b/Libraries/LibRouting/OnceTable.h
@@ -11,53 +11,62 @@
 
 namespace Routing {
 
-/// The whole answer of a request that ran under an idempotency key.
+/// The complete answer to a request that ran with an idempotency key.
 struct KeptAnswer {
     int64_t status { 0 };
     std::vector<Schema::Header> headers;
     std::string body;
 };
 
-/// What an agent knows of the idempotency keys whose home it is. A key in it is never run again.
+/// The idempotency keys whose home is this agent, each with the state of the request that ran with it and, where known, its answer.
+/// No other request may run with a key that is in the table.
 class OnceTable {
 public:
     enum class State {
-        /// It runs now.
+        /// The request runs now.
         Running,
-        /// It ran, and its answer is kept.
+        /// The request ran, and its answer is stored.
         Answered,
-        /// It ran, or may have run, and its answer is not known.
+        /// The request ran, or may have run, and its answer is not stored.
         Unknown,
     };
 
     struct Entry {
         State state { State::Running };
+        /// The customer that the key belongs to.
         std::string customer;
         KeptAnswer answer;
     };
 
+    /// `most_bytes`: limit on bytes(). `lifetime`: how long a key is kept after begin().
     OnceTable(size_t most_bytes, Core::Duration lifetime);
 
+    /// @return nullptr if the key is not in the table.
     Entry const* find(std::string const& key) const;
 
-    /// Notes that a key is about to run, before the first byte goes to the backend server.
-    /// @return false if there is no room: the request must then be refused as not run. No key is ever dropped for another.
+    /// Adds a key as Running, before the first byte of its request is sent to the backend server.
+    /// @return false if the table is full or holds the key already: the request must then be refused as not run. No key is ever evicted
+    /// to make room for another.
     bool begin(std::string const& key, std::string customer, Core::Time now);
 
-    /// The backend server took no byte of it: the key may run again.
+    /// Removes a key because no byte of its request reached the backend server: a request with the key may run again.
     void forget(std::string const& key);
-    /// The answer is whole. One too large to keep leaves the key Unknown, which still bars a second run.
+    /// Stores the complete answer. If it is too large to store, the key becomes Unknown, which still prevents a second run.
     void answered(std::string const& key, KeptAnswer);
+    /// Marks a key as Unknown.
     void unknown(std::string const& key);
 
-    /// Drops keys older than the lifetime; the caller refuses keys that were made that long ago.
+    /// Removes keys older than the lifetime, except those that are Running. A request with a removed key must be refused by the age
+    /// of its key, which the code that calls begin() has to check.
     void expire(Core::Time now);
 
     size_t size() const { return m_entries.size(); }
+    /// Estimated memory use: bytes_per_key for each key, and the bodies of stored answers.
     size_t bytes() const { return m_bytes; }
 
+    /// Largest body of an answer that is stored, in bytes.
     static constexpr size_t largest_kept_answer = 64 * 1024;
-    /// What a key costs beside its answer.
+    /// Bytes counted for a key in addition to the body of its answer.
     static constexpr size_t bytes_per_key = 256;
 
 private:
--- a/Libraries/LibRouting/RefusedRequests.cpp
+++ b/Libraries/LibRouting/RefusedRequests.cpp
@@ -6,7 +6,8 @@
 
 namespace Routing {
 
-// What a caller's patience may seem to end later or earlier by the way there and back, and by a peer's word of it.
+// How far two values for the end of the same caller's wait may differ, because of network delays from the caller to the entries and
+// between the entries.
 static constexpr Core::Duration same_deadline { 150 };
 static constexpr size_t most_refused = 4096;
 
--- a/Libraries/LibRouting/RefusedRequests.h
+++ b/Libraries/LibRouting/RefusedRequests.h
@@ -9,30 +9,31 @@
 
 namespace Routing {
 
-/// A request that some entry refused or failed, so that its caller may ask again.
+/// A request that an entry refused or failed, so that its caller may retry.
 struct RefusedRequest {
-    /// Of its content; see request_digest().
+    /// Digest of the request's content; see request_digest().
     std::string digest;
-    /// When its caller first asked.
+    /// When the caller sent its first request, of which this one may be a retry.
     Core::Time first_asked { 0 };
-    /// When its caller stops waiting.
+    /// When the caller stops waiting.
     Core::Time deadline { 0 };
 };
 
-/// Recognises callers that come back after a refusal, whichever entry refused them.
+/// Recognises requests that are a caller's retry after a refusal, whichever entry refused it.
 ///
-/// Every try of a caller is a request of its own, with a new identifier. It is a later try of one that was refused if the
-/// content is the same and the caller's patience ends at the same moment.
+/// A retry arrives as a separate request with a new identifier. It counts as the retry of a refused request if the content is the
+/// same and the caller stops waiting at the same moment, within 150 ms. At most 4096 refusals are kept; further ones are dropped.
 class RefusedRequests {
 public:
-    /// Notes a refusal by this entry or another. One whose caller has stopped waiting is ignored.
+    /// Adds a refusal by this entry or another. It is ignored if its caller has already stopped waiting.
     void add(RefusedRequest, Core::Time now);
 
-    /// When the caller of a request first asked, if it was refused before. A refusal answers for one later try.
+    /// Finds the refused request that the present one retries, and removes it: each refusal leads to one retry.
     /// @param deadline when the caller of the present request stops waiting.
+    /// @return when the caller sent its first request, or std::nullopt if the present request is not known to be a retry.
     std::optional<Core::Time> take(std::string const& digest, Core::Time deadline, Core::Time now);
 
-    /// Forgets those whose callers have stopped waiting.
+    /// Removes refusals whose callers have stopped waiting.
     void forget_ended(Core::Time now);
 
     size_t size() const { return m_refused.size(); }
--- a/Libraries/LibRouting/RequestDigest.cpp
+++ b/Libraries/LibRouting/RequestDigest.cpp
@@ -11,7 +11,7 @@
 {
     Core::Sha256 hash;
     for (auto const part : { content.method, content.host, content.target, content.caller, content.body }) {
-        // With its length before it, no part can be taken for a piece of the next.
+        // Each part is preceded by its length, so that bytes moved from one part to the next change the digest.
         hash.update(std::to_string(part.size()) + ":");
         hash.update(part);
     }
--- a/Libraries/LibRouting/RequestDigest.h
+++ b/Libraries/LibRouting/RequestDigest.h
@@ -6,18 +6,18 @@
 
 namespace Routing {
 
-/// What makes two tries the same request, whatever their ids and connections.
+/// The content by which a caller's retry is recognised as the same request; request ids and connections differ between them.
 struct RequestContent {
     std::string_view method;
     std::string_view host;
     /// Path and query.
     std::string_view target;
-    /// The customer; where there are none, the key or nothing.
+    /// The customer's name; if no customers are configured, the key that the caller sent, or empty.
     std::string_view caller;
     std::string_view body;
 };
 
-/// The first 128 bits of the content's SHA-256, in lower-case hexadecimal. 100 kB of body take 0.1 ms.
+/// The first 128 bits of the content's SHA-256, as 32 lower-case hexadecimal digits. A body of 100 kB takes 0.1 ms.
 std::string request_digest(RequestContent const&);
 
 }
--- a/Libraries/LibRouting/RequestFlow.cpp
+++ b/Libraries/LibRouting/RequestFlow.cpp
@@ -128,7 +128,7 @@
     auto give_up = GiveUp { known, reason, std::max(retry_after, not_run_retry_after) };
     if (!is_worth_another_try(reason))
         return end_with(give_up, outcome, reason);
-    // A word that nothing was run costs the instance next to nothing: moving on from it is free.
+    // A refusal costs the instance almost nothing, so the retry is not charged to the budget.
     bool const costs_budget = reason == Schema::Reason::ConnectFailed;
     return retry_or(reason, outcome, give_up, costs_budget);
 }
--- a/Libraries/LibRouting/RequestFlow.h
+++ b/Libraries/LibRouting/RequestFlow.h
@@ -14,51 +14,58 @@
 
 namespace Routing {
 
-/// Choose an instance, or queue until there is one.
+// The actions that RequestFlow asks its owner to perform.
+
+/// Choose an instance, or queue the request until one is available.
 struct NeedInstance { };
 
+/// Tell the agent at `instance` to cancel an attempt.
 struct SendCancel {
     std::string instance;
     std::string attempt;
 };
 
+/// Ask the agent at `instance` to continue an attempt's answer from the part `next_sequence`, over a link that is up again.
 struct SendResume {
     std::string instance;
     std::string attempt;
     int64_t next_sequence { 0 };
 };
 
+/// Tell the agent at `instance` that every part of the answer below `next_sequence` was received.
 struct SendAcknowledge {
     std::string instance;
     std::string attempt;
     int64_t next_sequence { 0 };
 };
 
-/// Pass a part on to the caller; they come in order, part 0 with the head of the answer.
+/// Send a part to the caller. Parts are delivered in order; part 0 holds the status and headers.
 struct Deliver {
     Schema::Part part;
 };
 
-/// The answer is whole.
+/// End the answer to the caller: every part was delivered.
 struct FinishAnswer { };
 
-/// Break the answer off, visibly: part of it has gone to the caller.
+/// Abort the answer, of which a part was delivered, in such a way that the caller notices that it is incomplete.
 struct BreakOff {
     Schema::Reason reason;
 };
 
-/// Nothing has gone to the caller: tell it what is known, now.
+/// Answer with an error: no part of an answer was delivered. `outcome` says whether the request may have run.
 struct GiveUp {
     Schema::Outcome outcome;
     Schema::Reason reason;
+    /// How long the caller should wait before it retries.
     Core::Duration retry_after { 0 };
 };
 
-/// An attempt is over, as far as the instance is concerned.
+/// Record that an attempt at `instance` has ended, and how.
 struct AttemptOver {
     std::string instance;
     InstanceOutcome outcome;
     Schema::Reason reason;
+    /// Another instance is chosen for the request.
     bool is_retried { false };
 };
 
@@ -66,43 +73,54 @@
 using FlowActions = std::vector<FlowAction>;
 
 struct FlowSettings {
-    /// Wait for an agent's word that it admitted or refused a repeatable request.
+    /// How long an agent may take to accept or refuse a repeatable request before it is sent elsewhere.
     Core::Duration accept_wait { 1000 };
-    /// Wait for a dropped link to come back.
+    /// How long a request waits for a lost link to be connected again.
     Core::Duration resume_wait { 3000 };
     size_t most_attempts { 4 };
-    /// Parts between two acknowledgements.
+    /// Number of parts after which the answer is acknowledged again.
     int64_t parts_per_acknowledgement { 16 };
 };
 
-/// One caller's request at an entry: its attempts, one after another, and its single final answer.
+/// The state machine of one caller's request at an entry: its attempts, of which at most one is current, and its single final answer.
+/// Each function reports an event and returns the actions that the owner has to perform, in order.
 ///
-/// A repeatable request is tried elsewhere until its first byte has gone to the caller. Any other is tried
-/// again only after an explicit word that it was not run. Whatever an abandoned attempt still sends is dropped.
+/// A repeatable request is sent to another instance after a failure, as long as no part of an answer was delivered to the caller. Any other
+/// request is sent again only if the agent refused it or the link did not accept it, so that it cannot have run. Messages for an
+/// attempt that is no longer current are ignored.
 class RequestFlow {
 public:
     RequestFlow(Schema::Repeatability, Core::Time deadline, FlowSettings, RetryBudget&);
 
+    /// Counts the request in the retry budget and asks for an instance.
     FlowActions start();
 
-    /// The dispatch was handed to the instance's link.
+    /// The request was sent over the link to the agent of `instance`, whose current incarnation is given, as `attempt`.
     void on_dispatched(std::string const& instance, int64_t incarnation, std::string const& attempt, Core::Time now);
-    /// The link took nothing: it was not run there.
+    /// The link did not accept the request, so it was not run there.
     FlowActions on_not_dispatched(std::string const& instance);
-    /// No instance can be had, and waiting for one is not worth it.
+    /// No instance is available, and the request cannot or should not wait for one: ends the request.
     FlowActions on_no_instance(Schema::Reason, Core::Duration retry_after);
 
+    /// The agent accepted the attempt: it runs the request.
     FlowActions on_accepted(std::string const& attempt);
+    /// The agent refused the attempt: it has not run the request.
     FlowActions on_refused(std::string const& attempt, Schema::Reason, Core::Duration retry_after);
+    /// The attempt failed after the agent had accepted it: the request may have run.
     FlowActions on_broken(std::string const& attempt, Schema::Reason);
+    /// A part of an answer was received. Parts may be repeated and out of order.
     FlowActions on_part(Schema::Part);
     FlowActions on_link_down(std::string const& instance, Core::Time now);
+    /// The link is up again. If the instance has another incarnation now, the attempt is lost.
     FlowActions on_link_up(std::string const& instance, int64_t incarnation);
     FlowActions on_caller_gone();
+    /// Checks the deadline and the timeouts of FlowSettings.
     FlowActions on_tick(Core::Time now);
 
     bool is_over() const { return m_phase == Phase::Over; }
+    /// Whether the request has no current attempt and needs an instance.
     bool is_choosing() const { return m_phase == Phase::Choosing; }
+    /// Instances at which an attempt failed; the next instance should be another one.
     std::set<std::string> const& excluded() const { return m_excluded; }
     std::string const& attempt() const { return m_attempt; }
     std::string const& instance() const { return m_instance; }
@@ -137,7 +155,7 @@
     bool m_is_accepted { false };
     bool m_has_delivered { false };
     bool m_has_server_error { false };
-    // Some attempt was given up on without a word that it was not run.
+    // An attempt was abandoned although the agent had not refused it.
     bool m_may_have_run { false };
     Core::Time m_dispatched_at { 0 };
     Core::Time m_link_down_at { 0 };
--- a/Libraries/LibRouting/RetryShare.cpp
+++ b/Libraries/LibRouting/RetryShare.cpp
@@ -6,15 +6,16 @@
 namespace Routing {
 
 static constexpr Core::Duration slot_length { 1000 };
-// Requests of this entry may be counted in another window than their retries: not all of the ratio is spent.
+// A request and its retries may be counted in different windows, so only this part of the ratio is spent.
 static constexpr double spent_part_of_ratio = 0.75;
 static constexpr double spent_part_of_slack = 0.8;
-// An entry that has just started may have spent its share in its last life, and knows nothing of that. What it spends within its
-// first window comes on top: 0.75 of the ratio, of up to eleven seconds' requests, and 0.15 fit into one, and 0.8 of the slack
-// and 0.1 for each of two new lives.
+// An entry that has just started may have spent its share before it was restarted, and has no record of that. What it spends in its
+// first window comes in addition. The limit has room for both: 0.75 of the ratio, applied to the requests of up to eleven seconds, plus
+// 0.15; and 0.8 of the slack, plus 0.1 for each of two restarts.
 static constexpr double fresh_part_of_ratio = 0.15;
 static constexpr double fresh_part_of_slack = 0.1;
-// Within this it has heard of the others, where there are any; alone it would take the slack of all, so it takes one.
+// Within this time after its start an entry learns of the other entries, if there are any. Until then it would use the slack of all
+// entries, so it uses a slack of at most one retry.
 static constexpr Core::Duration acquaintance { 2000 };
 
 RetryShare::RetryShare(RetryBound bound, Core::Time now)
--- a/Libraries/LibRouting/RetryShare.h
+++ b/Libraries/LibRouting/RetryShare.h
@@ -9,29 +9,33 @@
 
 namespace Routing {
 
-/// The bound on sends beyond the first of each request, for all entries together.
+/// The limit on retries (attempts after the first one of a request) per service, for all entries together.
 struct RetryBound {
-    /// Share of a service's requests.
+    /// Retries allowed per request to the service within the window.
     double ratio { 0.1 };
     Core::Duration window { 10000 };
-    /// Sends allowed beyond the ratio in a window.
+    /// Retries allowed within the window in addition to the ratio.
     double slack { 0 };
 };
 
-/// One entry's part of the bound on retries, by service, without a coordinator: the ratio of its own requests, and
-/// an equal part of the slack. A window counts whole seconds, so that it never looks shorter than it is.
+/// One entry's share of the limit on retries, per service, without a coordinator: the ratio applied to the requests of this entry, and
+/// an equal part of the slack. The window is counted in whole seconds and rounded up, so that no retry leaves it too early. An entry
+/// spends less than its share, and far less in its first window after a start, so that all entries together stay within the limit.
 class RetryShare {
 public:
     RetryShare(RetryBound, Core::Time now);
 
-    /// How many entries share the slack. The highest number seen counts: one that is out of sight still spends.
+    /// Sets how many entries share the slack. The highest number ever set is used, because an entry that is unreachable from here
+    /// still spends its part.
     void set_entries(size_t count);
 
+    /// Counts a request, which adds to the share.
     void on_request(std::string const& service, Core::Time now);
 
-    /// Takes one retry out of the share; false if nothing is left.
+    /// Deducts one retry from the share. @return false if the share is used up; nothing is deducted then.
     bool try_spend(std::string const& service, Core::Time now);
 
+    /// Whether try_spend() would succeed.
     bool has_left(std::string const& service, Core::Time now);
 
 private:
--- a/Libraries/LibRouting/ReturningCallers.cpp
+++ b/Libraries/LibRouting/ReturningCallers.cpp
@@ -6,17 +6,17 @@
 
 namespace Routing {
 
-// Enough to tell any two requests apart whose callers wait for the same moment.
+// Enough to distinguish any two requests whose callers stop waiting at the same moment.
 static constexpr size_t told_digest_characters = 16;
-// A refusal within a message, by its encoding.
+// Size of one refusal in an encoded message.
 static constexpr double bytes_per_refusal = 24;
-// The links' part of it, to all entries together. A few hundred entries so tell of one refusal a second each.
+// Limit on announcements, to all entries together. With a few hundred entries, each can announce one refusal a second.
 static constexpr double bytes_per_second = 8000;
 static constexpr double most_allowed_bytes = 2 * bytes_per_second;
 static constexpr double milliseconds_per_second = 1000;
-// Callers that met nobody have come back or gone within this.
+// Callers whose requests reached no entry have retried or stopped waiting after this time.
 static constexpr Core::Duration outage_lasts { 10000 };
-// No caller waits longer.
+// No caller waits longer: longer durations in another entry's message are invalid.
 static constexpr Core::Duration longest_wait { 3'600'000 };
 
 void ReturningCallers::on_refused(RefusedRequest refused, Core::Time now)
@@ -50,7 +50,7 @@
         m_refused.add({ news.digests[i], now - Core::Duration(news.asked_ms_ago[i]), now + Core::Duration(news.left_ms[i]) }, now);
 }
 
-/// How many of the refusals the links' share allows to tell to so many entries.
+/// How many of `refusals` may be announced now to so many `entries`; their bytes are deducted from the allowance.
 size_t ReturningCallers::may_tell(size_t refusals, size_t entries, Core::Time now)
 {
     auto const elapsed = static_cast<double>((now - std::exchange(m_allowance_at, now)).count());
--- a/Libraries/LibRouting/ReturningCallers.h
+++ b/Libraries/LibRouting/ReturningCallers.h
@@ -12,15 +12,18 @@
 
 namespace Routing {
 
-/// Knows callers that come back, so that they are not taken for new ones that can still be in time.
+/// Determines when a caller made its first request, so that a caller that retries is not mistaken for a new one, whose answer can still
+/// begin within the objective.
 ///
-/// Entries tell each other what they refuse, and so know a later try whichever entry refused the first. After an outage, which leaves
-/// nobody to refuse, the deadline may tell it. Else a try counts as the first.
+/// Entries announce to each other the requests that they refuse, so every entry recognises a retry, whichever entry refused the
+/// first request. During an outage no entry is there to refuse requests; for ten seconds after one, the first request's time is
+/// estimated from the time that the caller still waits (CallerDeadlines). Otherwise a request counts as the caller's first.
 class ReturningCallers {
 public:
     struct Callbacks {
-        /// The other entries that are linked.
+        /// The names of the other entries to which a link is up.
         std::function<std::vector<std::string>()> entries;
+        /// Sends a message to another entry.
         std::function<void(std::string const& entry, Schema::Message const&)> send;
     };
 
@@ -29,18 +32,21 @@
     {
     }
 
+    /// This entry refused a request: its retry will be recognised here and, after the next tell(), by the other entries.
     void on_refused(RefusedRequest, Core::Time now);
-    /// This entry has started, or another one is gone: callers may have met nobody.
+    /// This entry has started, or another one has become unreachable: callers' requests may have reached no entry.
     void on_outage(Core::Time now) { m_outage_at = now; }
 
-    /// When the caller of a request that came just now first asked.
+    /// Determines when the caller of a request that arrived at `now` sent its first request.
     /// @param patience how long the caller still waits.
-    /// @param digest of the request; it is taken only where some refusal is known.
+    /// @param digest computes the request's digest; called only if any refusal is known.
     Core::Time first_asked(std::string const& route, Core::Duration patience, std::function<std::string()> const& digest, Core::Time now);
 
-    /// Another entry's word. What cannot be meant is dropped, with a line.
+    /// Adds the refusals that another entry announced. A message with invalid values is dropped as a whole and logged as
+    /// refusals_dropped.
     void on_news(std::string const& entry, Schema::RefusalNews const&, Core::Time now);
-    /// Tells the others what was refused since the last turn, as far as the links' share allows.
+    /// Announces the requests refused since the last call to the other entries. Sends at most 8 kB a second on average, to all entries
+    /// together; refusals beyond that are not announced.
     void tell(Core::Time now);
 
 private:
@@ -51,7 +57,7 @@
     CallerDeadlines m_deadlines;
     std::optional<Core::Time> m_outage_at;
     std::vector<RefusedRequest> m_untold;
-    // Bytes that may be sent now.
+    // Bytes that may be sent now, as of m_allowance_at.
     double m_allowance { 0 };
     Core::Time m_allowance_at { 0 };
 };
--- a/Tests/LibRouting/TestAdmission.cpp
+++ b/Tests/LibRouting/TestAdmission.cpp
@@ -51,7 +51,7 @@
     EXPECT_TRUE(std::holds_alternative<Admit>(decide()));
     EXPECT_EQ(std::get<RefuseUnknown>(decide()).reason, Schema::Reason::KeyInProgress);
     table.answered(key, { 200, {}, "done" });
-    // Also while it drains, and after its lease lapsed.
+    // The stored answer is also sent while the agent drains and after its lease has expired.
     view.is_draining = true;
     view.now += Core::Duration(100000);
     EXPECT_EQ(std::get<Replay>(decide()).answer.body, "done");
--- a/Tests/LibRouting/TestAnswerSilence.cpp
+++ b/Tests/LibRouting/TestAnswerSilence.cpp
@@ -39,7 +39,8 @@
     EXPECT_TRUE(silence.look(Time(1060), patience));
 }
 
-/// An entry that hardly runs: between its turns it stands still for seconds, while the server writes on.
+/// Guards against a false timeout in an entry that the host pauses for up to 2 s between iterations of the event loop, while the server
+/// keeps sending.
 RC_GTEST_PROP(AnswerSilence, AServerThatIsReadEachTurnIsNeverSilentHoweverRarelyTheProcessRuns, ())
 {
     AnswerSilence silence;
@@ -47,9 +48,9 @@
     silence.on_heard(running);
     auto const turns = *rc::gen::inRange(1, 100);
     for (int i = 0; i < turns; ++i) {
-        // What a stop adds to the clock of running time.
+        // The time that a pause adds to the clock of running time.
         running += Duration(*rc::gen::inRange(0, 2000));
-        // The timer may come before the bytes are read, and is not let in twice.
+        // The timer may fire before the bytes are read, but not twice in a row.
         RC_ASSERT(!silence.look(running, patience));
         running += turn;
         silence.on_heard(running);
--- a/Tests/LibRouting/TestCrashSuspects.cpp
+++ b/Tests/LibRouting/TestCrashSuspects.cpp
@@ -55,8 +55,8 @@
     EXPECT_EQ(standing("often asked for"), CrashStanding::RunsAlone);
 }
 
-// Guards against a request that is never blamed, and ends servers without end: many copies that were under way together had filled its
-// record of ends before one of them ran by itself.
+// Guards against a crashing request that is never blamed: many copies that ran at the same time had filled its record of
+// terminations before one of them ran alone.
 TEST_F(CrashSuspectsTest, TheEndOfAServerThatRanItByItselfBlamesHoweverManyEndedBefore)
 {
     for (int i = 0; i < 20; ++i)
@@ -101,12 +101,12 @@
     end("2", { { "harmless" } });
     end("3", { { "harmless", true }, { "guilty" } });
     EXPECT_EQ(standing("harmless"), CrashStanding::Blamed);
-    // What the harmless one is blamed for does not count against the guilty ones.
+    // Terminations in the record of the wrongly blamed request don't count against the guilty ones.
     end("4", { { "guilty" } });
     end("5", { { "guilty" } });
     end("6", { { "guilty", true } });
     EXPECT_EQ(standing("guilty"), CrashStanding::Blamed);
-    EXPECT_EQ(standing("harmless"), CrashStanding::Blamed) << "nothing else explains the end of 2";
+    EXPECT_EQ(standing("harmless"), CrashStanding::Blamed) << "no other blamed request ran on server 2";
     end("2", { { "another" } });
     end("7", { { "another" } });
     end("8", { { "another" } });
@@ -120,7 +120,7 @@
     blame("a");
     m_now += hour;
     EXPECT_EQ(standing("a"), CrashStanding::RunsAlone);
-    EXPECT_TRUE(end("4", { { "a", true } }).empty()) << "it was blamed all the while";
+    EXPECT_TRUE(end("4", { { "a", true } }).empty()) << "it was blamed before, so this is not its first blame";
     m_now += hour;
     EXPECT_EQ(standing("a"), CrashStanding::Blamed) << "the second blame lasts four hours";
     m_now += 3 * hour;
@@ -208,7 +208,7 @@
         EXPECT_NE(digest, request_digest(other));
 }
 
-// Two entries that tell each other of each end judge alike, whoever met it.
+// Two entries that announce every termination to each other blame the same requests, whichever entry detected it.
 RC_GTEST_PROP(CrashSuspectsProperty, EntriesThatHearOfAllEndsJudgeAlike, ())
 {
     CrashSuspects first;
@@ -232,8 +232,7 @@
 
 namespace {
 
-/// Engines, harmless streams that run for a while, and callers who come again and again, each with a stream that ends its engine;
-/// in steps of time.
+/// Simulates, in steps of 20 ms, engines with harmless streams, and callers that keep retrying a stream that crashes its engine.
 class Fleet {
 public:
     Fleet(int engines, int guilty, uint64_t seed)
@@ -258,7 +257,7 @@
     }
 
     int ends_of(int guilty) const { return m_ends.contains(guilty) ? m_ends.at(guilty) : 0; }
-    /// Harmless streams that were ever blamed, and those that still are.
+    /// Number of harmless streams that were ever blamed; harmless_refused() counts those that still are.
     int harmless_blamed() const { return m_harmless_blamed; }
     int harmless_refused() const
     {
@@ -310,7 +309,7 @@
             be_refused(stream);
     }
 
-    /// The caller comes again some time after.
+    /// The caller retries 100 to 800 ms later.
     void be_refused(Stream const& stream)
     {
         m_in_hand.erase(stream.digest);
@@ -339,7 +338,7 @@
         for (auto const& stream : streams)
             leave(stream, false);
         for (auto stream : streams) {
-            // A stream goes on elsewhere, with what is left of it.
+            // A stream resumes on another engine, for its remaining steps.
             stream.left = stream.is_guilty() ? 4 : std::max(stream.left, 2);
             if (!send(stream))
                 be_refused(stream);
@@ -381,7 +380,8 @@
 
 }
 
-// The worst mix that is asked for, and its bounds on ended engines: several crashing requests at once, on engines that each run many others.
+// The worst required case, and its limits on terminated engines (5 for one crashing request, 12 for several): several crashing requests
+// at once, on engines that each run many other requests.
 RC_GTEST_PROP(CrashSuspectsProperty, CrashingRequestsAreStoppedSoonAndNoHarmlessOneIsBlamed, ())
 {
     auto const guilty = *rc::gen::inRange(1, 4);
--- a/Tests/LibRouting/TestDirectRouting.cpp
+++ b/Tests/LibRouting/TestDirectRouting.cpp
@@ -73,7 +73,7 @@
     EXPECT_EQ(table.admit("a", "/keyed/x", "k2").error(), RouteDenial::UnknownKey);
     EXPECT_EQ(table.admit("a", "/keyed/x", {}).error(), RouteDenial::UnknownKey);
     EXPECT_EQ(table.admit("a", "/blocked/x", "k1").error(), RouteDenial::BlockedRoute);
-    // What of it could not be read may name the key.
+    // The unreadable part of the configuration may name the key.
     EXPECT_EQ(table.admit("a", "/blocked/x", "k2").error(), RouteDenial::UnreadableCustomer);
     configuration->has_unreadable_customers = true;
     EXPECT_EQ(table.admit("a", "/keyed/x", "k2").error(), RouteDenial::UnreadableCustomer);
@@ -239,7 +239,7 @@
     start_all(0);
     std::vector<int64_t> requests;
     std::vector<int64_t> retries;
-    // Steady requests; from 6 s on whatever may be sent again is.
+    // Requests arrive at a steady rate; from 6 s on, every retry that the share allows is made.
     for (int64_t now = 0; now < 20000; now += 6) {
         if (now == 10002)
             start_all(now);
--- a/Tests/LibRouting/TestLimits.cpp
+++ b/Tests/LibRouting/TestLimits.cpp
@@ -160,7 +160,7 @@
     Core::Time const now { 1000 };
     for (size_t i = 0; i < entries; ++i) {
         for (size_t j = 0; j < entries; ++j) {
-            // Some words are lost.
+            // Some announcements are lost.
             if (i != j && random() % 4 != 0)
                 shares[i].on_heard("e" + std::to_string(j), shares[j].own(), now);
         }
--- a/Tests/LibRouting/TestRequestFlow.cpp
+++ b/Tests/LibRouting/TestRequestFlow.cpp
@@ -12,7 +12,7 @@
 
 namespace {
 
-/// A backend world around one flow: what each attempt really did, and what the flow has told its caller.
+/// Records what a flow has sent to its caller.
 struct Caller {
     size_t finals { 0 };
     std::string received;
@@ -40,6 +40,7 @@
     }
 };
 
+/// What an attempt really did at its instance.
 struct Attempt {
     std::string id;
     std::string instance;
@@ -85,7 +86,7 @@
                 handle(flow.on_not_dispatched(instance));
             } else {
                 for (auto const& earlier : attempts) {
-                    // What may not repeat is dispatched again only if no earlier attempt has run or ever can.
+                    // A request that is not repeatable is dispatched again only if no earlier attempt has run or can still run.
                     if (repeatability == Repeatability::Once)
                         RC_ASSERT(earlier.is_refused);
                 }
@@ -107,7 +108,7 @@
         }
         if (attempts.empty())
             continue;
-        // Any attempt may still speak, also one that was abandoned long ago.
+        // Messages may arrive for any attempt, also for one that was abandoned long ago.
         auto& attempt = attempts[random() % attempts.size()];
         switch (random() % 8) {
         case 0:
@@ -190,7 +191,7 @@
     EXPECT_GT(give_up.retry_after.count(), 0);
 }
 
-// Recorded traces: one JSON line a step, replayed against the outcome that its last line states.
+// Replays recorded traces, with one JSON object per line for each event, and checks the outcomes stated by their `expect` events.
 
 namespace {
 
--- a/Tests/LibRouting/TestReturningCallers.cpp
+++ b/Tests/LibRouting/TestReturningCallers.cpp
@@ -12,7 +12,7 @@
 
 namespace {
 
-/// Entries that are linked to each other without delay.
+/// Entries that are linked to each other; messages arrive without delay.
 struct Entries {
     explicit Entries(size_t count)
     {
@@ -59,9 +59,9 @@
     RefusedRequests refused;
     refused.add({ "a", Time(1000), Time(7000) }, Time(1100));
     EXPECT_FALSE(refused.take("b", Time(7000), Time(1500)));
-    EXPECT_FALSE(refused.take("a", Time(7500), Time(1500))) << "another caller that asks for the same";
+    EXPECT_FALSE(refused.take("a", Time(7500), Time(1500))) << "another caller with the same request";
     EXPECT_EQ(refused.take("a", Time(7004), Time(1500)), Time(1000));
-    EXPECT_FALSE(refused.take("a", Time(7000), Time(1600))) << "one refusal brings one caller back";
+    EXPECT_FALSE(refused.take("a", Time(7000), Time(1600))) << "each refusal leads to one retry";
 }
 
 TEST(RefusedRequests, ARefusalIsForgottenWhenItsCallerHasGone)
@@ -82,7 +82,7 @@
     EXPECT_LE(refused.size(), 4096u);
 }
 
-// Patience varies by 15 in 100 from caller to caller: a deadline says nothing of how often a caller has asked.
+// Timeouts vary by 15 % from caller to caller, so the remaining time does not show whether a caller has sent earlier requests.
 TEST(ReturningCallers, CallersOfVariedPatienceAreTakenForNewUntilTheyComeBack)
 {
     Entries entries(3);
@@ -101,7 +101,7 @@
     }
 }
 
-// All entries lost power: callers met closed ports, and nobody remembers them.
+// All entries lost power: callers' connections were refused, and no entry has a record of their requests.
 TEST(ReturningCallers, AfterAnOutageCallersOfOnePatienceAreKnownByWhatIsLeftOfIt)
 {
     Entries entries(1);
@@ -116,7 +116,7 @@
     EXPECT_EQ(entries.at(0).first_asked("r", Duration(4000), digest_is("x"), entries.now), entries.now);
 }
 
-// Callers that were refused together come back to whichever entry, each with what is left of its own patience.
+// Callers that were refused together retry at any entry, each with the rest of its own timeout.
 TEST(ReturningCallers, ACallerThatComesBackToAnotherEntryIsKnownThere)
 {
     Entries entries(3);
@@ -141,7 +141,7 @@
         entries.at(0).tell(entries.now);
         entries.now += Duration(20);
     }
-    // Ten seconds at 8,000 bytes a second, and two seconds' worth at once.
+    // Ten seconds at 8,000 bytes a second, plus a burst of two seconds' worth.
     EXPECT_LE(entries.told * 24, 12u * 8000u);
     EXPECT_GE(entries.told * 24, 9u * 8000u);
 }
--- a/Tests/LibRouting/TestTimeliness.cpp
+++ b/Tests/LibRouting/TestTimeliness.cpp
@@ -45,7 +45,7 @@
         EXPECT_EQ(deadlines.on_request("r", Duration(i % 25 == 0 ? 9000 : 6000)), Duration(0));
 }
 
-// Patience varies by 15 in 100 from caller to caller, and none has asked before.
+// Timeouts vary by 15 % from caller to caller, and none has sent an earlier request.
 TEST(CallerDeadlines, CallersOfVariedPatienceAreNotTakenToHaveAskedBefore)
 {
     for (auto const usual : { 1200, 6000 }) {
@@ -63,7 +63,7 @@
 {
     CallerDeadlines deadlines;
     Duration last { 0 };
-    // Four in five are later tries, each with what its own wait left over.
+    // Four in five requests are retries, each with the rest of its caller's timeout.
     for (int i = 0; i < 300; ++i)
         last = deadlines.on_request("r", Duration(i % 5 == 0 ? 6000 : 2500 + (i * 37) % 2000));
     EXPECT_GT(last, Duration(1000));
