--- a/Libraries/LibRouting/Admission.cpp
+++ b/Libraries/LibRouting/Admission.cpp
@@ -3,7 +3,7 @@
 
 namespace Routing {
 
-static std::optional<AdmissionResult> earlier_run(Schema::Dispatch const& dispatch, OnceTable const& table)
+static std::optional<AdmissionResult> result_of_earlier_run(Schema::Dispatch const& dispatch, IdempotencyTable const& table)
 {
     auto const* entry = table.find(*dispatch.key);
     if (!entry)
@@ -12,17 +12,17 @@
     if (entry->customer != dispatch.customer)
         return RefuseNotRun { Schema::Reason::KeyMalformed };
     switch (entry->state) {
-    case OnceTable::State::Running:
+    case IdempotencyTable::State::Running:
         return RefuseUnknown { Schema::Reason::KeyInProgress };
-    case OnceTable::State::Answered:
+    case IdempotencyTable::State::Answered:
         return Replay { entry->answer };
-    case OnceTable::State::Unknown:
+    case IdempotencyTable::State::Unknown:
         return RefuseUnknown { Schema::Reason::BackendBrokeOff };
     }
     return {};
 }
 
-static bool serves_what_was_asked(Schema::Dispatch const& dispatch, AdmissionView const& view)
+static bool serves_requested_version(Schema::Dispatch const& dispatch, AdmissionView const& view)
 {
     if (!dispatch.model)
         return true;
@@ -31,18 +31,18 @@
     return !dispatch.version || view.serving->version == *dispatch.version;
 }
 
-AdmissionResult admit(Schema::Dispatch const& dispatch, AdmissionView const& view, Membership::KeyHome const& home, OnceTable& table)
+AdmissionResult admit(Schema::Dispatch const& dispatch, AdmissionView const& view, Membership::KeyHome const& home, IdempotencyTable& table)
 {
     if (dispatch.key) {
         // A request that ran before is answered even by an agent that is draining.
-        if (auto earlier = earlier_run(dispatch, table))
+        if (auto earlier = result_of_earlier_run(dispatch, table))
             return *earlier;
     }
     if (view.is_draining)
         return RefuseNotRun { Schema::Reason::Draining };
     if (dispatch.deadline_ms <= 0)
         return RefuseNotRun { Schema::Reason::DeadlinePassed };
-    if (!serves_what_was_asked(dispatch, view))
+    if (!serves_requested_version(dispatch, view))
         return RefuseNotRun { Schema::Reason::VersionNotReady };
     if (view.in_flight >= view.capacity)
         return RefuseNotRun { Schema::Reason::InstanceBusy };
--- a/Libraries/LibRouting/Admission.h
+++ b/Libraries/LibRouting/Admission.h
@@ -3,7 +3,7 @@
 
 #include <LibCore/Time.h>
 #include <LibMembership/KeyHome.h>
-#include <LibRouting/OnceTable.h>
+#include <LibRouting/IdempotencyTable.h>
 #include <LibSchema/Generated.h>
 #include <optional>
 #include <string>
@@ -26,7 +26,7 @@
 
 /// A request with the same idempotency key ran before; its stored answer is sent again.
 struct Replay {
-    KeptAnswer answer;
+    StoredAnswer answer;
 };
 
 using AdmissionResult = std::variant<Admit, RefuseNotRun, RefuseUnknown, Replay>;
@@ -49,6 +49,6 @@
 ///
 /// A request whose idempotency key is in the table is answered from the table, even if the agent is draining. An admitted request that
 /// has a key is recorded in the table as running before this function returns.
-AdmissionResult admit(Schema::Dispatch const&, AdmissionView const&, Membership::KeyHome const&, OnceTable&);
+AdmissionResult admit(Schema::Dispatch const&, AdmissionView const&, Membership::KeyHome const&, IdempotencyTable&);
 
 }
--- a/Libraries/LibRouting/AnswerAssembly.cpp
+++ b/Libraries/LibRouting/AnswerAssembly.cpp
@@ -8,17 +8,17 @@
     auto const sequence = part.sequence;
     if (sequence < m_next || m_waiting.contains(sequence))
         return PartResult::Duplicate;
-    if (sequence >= m_next + window)
-        return PartResult::Impossible;
+    if (sequence >= m_next + max_parts_ahead)
+        return PartResult::Invalid;
     if (m_last && (sequence > *m_last || part.last))
-        return PartResult::Impossible;
+        return PartResult::Invalid;
     if (part.last) {
         if (!m_waiting.empty() && m_waiting.rbegin()->first > sequence)
-            return PartResult::Impossible;
+            return PartResult::Invalid;
         m_last = sequence;
     }
     m_waiting.emplace(sequence, std::move(part));
-    return PartResult::Taken;
+    return PartResult::Accepted;
 }
 
 std::vector<Schema::Part> AnswerAssembly::take_ready()
--- a/Libraries/LibRouting/AnswerAssembly.h
+++ b/Libraries/LibRouting/AnswerAssembly.h
@@ -14,12 +14,12 @@
 class AnswerAssembly {
 public:
     enum class PartResult {
-        Taken,
+        Accepted,
         /// A part of this sequence number was received before; this one is dropped.
         Duplicate,
         /// The part lies beyond the last part or beyond the window, or marks another part as last although that contradicts the parts
         /// received before. The answer cannot be trusted.
-        Impossible,
+        Invalid,
     };
 
     PartResult add(Schema::Part);
@@ -32,7 +32,7 @@
     bool is_whole() const { return m_last && m_next > *m_last; }
 
     /// How far beyond next_sequence() a part's sequence number may lie: bounds the parts that are held because earlier ones are missing.
-    static constexpr int64_t window = 4096;
+    static constexpr int64_t max_parts_ahead = 4096;
 
 private:
     int64_t m_next { 0 };
--- a/Libraries/LibRouting/AnswerBuffer.cpp
+++ b/Libraries/LibRouting/AnswerBuffer.cpp
@@ -13,7 +13,7 @@
     part.attempt = m_attempt;
     part.sequence = m_next++;
     m_has_last = part.last;
-    m_kept_bytes += part.data.size();
+    m_unacknowledged_bytes += part.data.size();
     m_parts.push_back(part);
     return part;
 }
@@ -38,7 +38,7 @@
 void AnswerBuffer::acknowledge(int64_t next_sequence)
 {
     while (!m_parts.empty() && m_parts.front().sequence < next_sequence) {
-        m_kept_bytes -= m_parts.front().data.size();
+        m_unacknowledged_bytes -= m_parts.front().data.size();
         m_parts.pop_front();
     }
 }
@@ -49,7 +49,7 @@
     return next_sequence >= oldest && next_sequence <= m_next;
 }
 
-std::vector<Schema::Part> AnswerBuffer::since(int64_t next_sequence) const
+std::vector<Schema::Part> AnswerBuffer::parts_from(int64_t next_sequence) const
 {
     std::vector<Schema::Part> parts;
     for (auto const& part : m_parts) {
--- a/Libraries/LibRouting/AnswerBuffer.h
+++ b/Libraries/LibRouting/AnswerBuffer.h
@@ -24,11 +24,11 @@
 
     /// The stored parts whose sequence number is `next_sequence` or higher. The answer may only be resumed with them if
     /// can_resume_from() holds: parts that were acknowledged are no longer stored.
-    std::vector<Schema::Part> since(int64_t next_sequence) const;
+    std::vector<Schema::Part> parts_from(int64_t next_sequence) const;
     bool can_resume_from(int64_t next_sequence) const;
 
     /// Bytes of data in parts that were not acknowledged.
-    size_t kept_bytes() const { return m_kept_bytes; }
+    size_t unacknowledged_bytes() const { return m_unacknowledged_bytes; }
     bool has_last() const { return m_has_last; }
     /// Whether the answer ended and all of its parts were acknowledged.
     bool is_acknowledged() const { return m_has_last && m_parts.empty(); }
@@ -39,7 +39,7 @@
     std::string m_attempt;
     std::deque<Schema::Part> m_parts;
     int64_t m_next { 0 };
-    size_t m_kept_bytes { 0 };
+    size_t m_unacknowledged_bytes { 0 };
     bool m_has_last { false };
 };
 
--- a/Libraries/LibRouting/AnswerTerms.h
+++ b/Libraries/LibRouting/AnswerDeadlines.h
@@ -16,14 +16,14 @@
 };
 
 /// The moments by which the answer to one request must begin and end.
-struct AnswerTerms {
+struct AnswerDeadlines {
     /// The last moment at which an answer may begin and still meet the objective.
     Core::Time in_time_until { 0 };
     /// When the caller stops waiting, or when the route's timeout ends.
     Core::Time deadline { 0 };
 
     /// Classifies an answer that begins at `begins` and ends at `ends`.
-    Timeliness of(Core::Time begins, Core::Time ends) const
+    Timeliness classify(Core::Time begins, Core::Time ends) const
     {
         if (ends > deadline)
             return Timeliness::TooLate;
--- a/Libraries/LibRouting/AttemptPolicy.cpp
+++ b/Libraries/LibRouting/AttemptPolicy.cpp
@@ -4,29 +4,29 @@
 namespace Routing {
 
 // With less time than this until the deadline, no further attempt is made.
-static constexpr Core::Duration least_time_for_a_send { 30 };
+static constexpr Core::Duration min_remaining_for_attempt { 30 };
 // Attempts in which the request was not run may be repeated this many times, in addition to the attempts that the route allows.
-static constexpr int64_t most_misses = 3;
+static constexpr int64_t max_attempts_not_run = 3;
 // Attempts whose server terminated do not count against the attempts that the route allows. A request that does not itself crash
 // servers rarely loses a second server and almost never a third.
-static constexpr int64_t most_ended_servers = 3;
+static constexpr int64_t max_terminated_servers = 3;
 
-char const* send_end_name(SendEnd end)
+char const* attempt_outcome_name(AttemptOutcome outcome)
 {
-    switch (end) {
-    case SendEnd::NotConnected:
+    switch (outcome) {
+    case AttemptOutcome::NotConnected:
         return "not_connected";
-    case SendEnd::NotRun:
+    case AttemptOutcome::NotRun:
         return "not_run";
-    case SendEnd::ServerFailure:
+    case AttemptOutcome::ServerFailure:
         return "server_failure";
-    case SendEnd::BrokenOff:
+    case AttemptOutcome::BrokenOff:
         return "broken_off";
-    case SendEnd::ServerEnded:
+    case AttemptOutcome::ServerTerminated:
         return "server_ended";
-    case SendEnd::Silent:
+    case AttemptOutcome::Silent:
         return "silent";
-    case SendEnd::Outdated:
+    case AttemptOutcome::Outdated:
         return "outdated";
     }
     return "";
@@ -39,34 +39,34 @@
     return state.kind == Schema::RouteKind::Stream && state.is_resumable;
 }
 
-static bool ran_nothing(SendEnd end)
+static bool cannot_have_run(AttemptOutcome outcome)
 {
-    return end == SendEnd::NotConnected || end == SendEnd::NotRun;
+    return outcome == AttemptOutcome::NotConnected || outcome == AttemptOutcome::NotRun;
 }
 
-static bool may_send_again(SendEnd end, AttemptState const& state)
+static bool can_retry(AttemptOutcome outcome, AttemptState const& state)
 {
-    if (state.remaining < least_time_for_a_send || !state.has_budget)
+    if (state.remaining < min_remaining_for_attempt || !state.has_budget)
         return false;
-    if (ran_nothing(end))
-        return state.misses <= most_misses;
-    return is_repeatable(state) && state.sends < state.max_attempts && state.ended_servers <= most_ended_servers;
+    if (cannot_have_run(outcome))
+        return state.attempts_not_run <= max_attempts_not_run;
+    return is_repeatable(state) && state.attempts < state.max_attempts && state.terminated_servers <= max_terminated_servers;
 }
 
-NextStep next_step(SendEnd end, AttemptState const& state)
+NextStep next_step(AttemptOutcome outcome, AttemptState const& state)
 {
-    if (may_send_again(end, state)) {
-        bool const is_repeat_of_a_run = state.may_have_run || !ran_nothing(end);
-        if (!is_repeat_of_a_run || is_repeatable(state))
-            return state.has_delivered ? NextStep::Resume : NextStep::SendAgain;
+    if (can_retry(outcome, state)) {
+        bool const would_repeat_a_run = state.may_have_run || !cannot_have_run(outcome);
+        if (!would_repeat_a_run || is_repeatable(state))
+            return state.has_delivered ? NextStep::Resume : NextStep::RetryFromStart;
     }
     if (state.has_delivered)
         return NextStep::BreakOff;
-    if (end == SendEnd::ServerFailure)
-        return NextStep::PassFailure;
-    if (ran_nothing(end) && !state.may_have_run)
+    if (outcome == AttemptOutcome::ServerFailure)
+        return NextStep::ForwardFailure;
+    if (cannot_have_run(outcome) && !state.may_have_run)
         return NextStep::RefuseNotRun;
-    return NextStep::AnswerUnknown;
+    return NextStep::ReportUnknown;
 }
 
 }
--- a/Libraries/LibRouting/CrashSuspects.h
+++ b/Libraries/LibRouting/CrashSuspects.h
@@ -23,7 +23,7 @@
 };
 
 /// The restrictions under which an attempt of a request was sent.
-enum class CrashSend {
+enum class CrashRestriction {
     /// None: the request was no suspect.
     Free,
     /// This entry sends no other copy until the attempt ends.
@@ -60,49 +60,49 @@
 
     /// Records that an incarnation of a server terminated while it ran the given requests.
     /// @return the digests of requests that are now blamed for the first time since they were last cleared.
-    std::vector<std::string> on_server_ended(std::string const& incarnation, std::vector<Run> const&, Core::Time now);
-    /// Merges a suspect that another entry announced, or that an earlier incarnation of this one stored. @return as on_server_ended().
+    std::vector<std::string> on_server_terminated(std::string const& incarnation, std::vector<Run> const&, Core::Time now);
+    /// Merges a suspect that another entry announced, or that an earlier incarnation of this one stored. @return as on_server_terminated().
     std::vector<std::string> merge(Schema::CrashSuspect const&, Core::Time now);
     /// Removes a suspect because its answer completed, or on the operator's order. @return false if it was no suspect.
     bool clear(std::string const& digest);
 
     /// Whether this entry may send a copy of the request now.
     bool may_send(std::string const& digest, Core::Time now) const;
-    /// Records that this entry sends the request to a server. @return the restrictions that hold until on_send_over().
-    CrashSend on_sent(std::string const& digest, std::string const& server, Core::Time now);
+    /// Records that this entry sends the request to a server. @return the restrictions that hold until on_attempt_over().
+    CrashRestriction on_sent(std::string const& digest, std::string const& server, Core::Time now);
     /// Records that an attempt for which on_sent() did not return Free has ended, with whatever outcome.
-    void on_send_over(std::string const& digest) { m_own.erase(digest); }
+    void on_attempt_over(std::string const& digest) { m_local_runs.erase(digest); }
     /// Another entry announced that it has sent a suspect, or that the attempt is over.
     void on_peer_run(std::string const& entry, Schema::SuspectRun const&, Core::Time now);
     /// Forgets the runs of an entry that is no longer reachable.
     void on_peer_gone(std::string const& entry);
 
     /// Which runs servers_with_suspects() considers: those of all suspects, or only of suspects that run alone.
-    enum class Among {
+    enum class RunFilter {
         AllRuns,
-        LoneRuns,
+        AloneRuns,
     };
     /// The servers that run suspects, as sent by this entry and by others.
-    std::set<std::string> servers_with_suspects(Among, Core::Time now) const;
+    std::set<std::string> servers_with_suspects(RunFilter, Core::Time now) const;
 
     /// Up to 256 suspects to announce to an entry that has just connected: first the blamed ones, then those with most terminations.
-    std::vector<Schema::CrashSuspect> worth_telling(Core::Time now) const;
+    std::vector<Schema::CrashSuspect> suspects_to_announce(Core::Time now) const;
     /// The suspects that this entry has sent and that still run.
-    std::vector<Schema::SuspectRun> own_runs() const;
+    std::vector<Schema::SuspectRun> local_runs() const;
     /// All suspects, as shown to the operator.
     std::vector<Schema::CrashSuspect> all(Core::Time now) const;
     /// The record of one request, to announce to other entries; without terminations if it is no suspect.
-    Schema::CrashSuspect to_tell(std::string const& digest, Core::Time now) const;
+    Schema::CrashSuspect to_announce(std::string const& digest, Core::Time now) const;
 
     /// Removes suspects without a new termination for 24 hours (10 minutes after a single one), and other entries' runs after 60 s.
-    void forget_old(Core::Time now);
+    void remove_expired(Core::Time now);
 
 private:
     struct Suspect {
         Schema::CrashSuspect known;
         // The terminations in `known` that are in the record of no other blamed request.
-        std::vector<Schema::EndedRun> unexplained;
-        Core::Time last_end { 0 };
+        std::vector<Schema::EndedRun> unattributed;
+        Core::Time last_termination { 0 };
         std::optional<Core::Time> blamed_at;
     };
 
@@ -113,23 +113,23 @@
     };
 
     Suspect& suspect(std::string const& digest, Core::Time now);
-    bool take_end(Suspect&, Schema::EndedRun const&, Core::Time now);
-    bool judge(std::string const& digest, Core::Time now);
+    bool add_termination(Suspect&, Schema::EndedRun const&, Core::Time now);
+    bool evaluate(std::string const& digest, Core::Time now);
     void blame(Suspect&, Core::Time since, int64_t times);
-    void explain(Suspect&) const;
-    void weigh_others();
-    void explain_all();
-    void release_explained();
-    bool is_explained_by_others(Suspect const&, Schema::EndedRun const&) const;
-    void make_room();
+    void update_unattributed(Suspect&) const;
+    void reevaluate_others();
+    void update_all_unattributed();
+    void release_wrongly_blamed();
+    bool is_attributed_to_others(Suspect const&, Schema::EndedRun const&) const;
+    void evict_least_important();
     void count_blamed();
 
     std::map<std::string, Suspect> m_suspects;
     size_t m_blamed { 0 };
     // Running suspects that this entry has sent, by digest.
-    std::map<std::string, SuspectRun> m_own;
+    std::map<std::string, SuspectRun> m_local_runs;
     // Running suspects that other entries have sent, by entry and digest.
-    std::map<std::pair<std::string, std::string>, SuspectRun> m_peers;
+    std::map<std::pair<std::string, std::string>, SuspectRun> m_peer_runs;
 };
 
 }
--- a/Libraries/LibRouting/EventStream.cpp
+++ b/Libraries/LibRouting/EventStreamSplitter.cpp
@@ -1,5 +1,5 @@
 // SPDX-License-Identifier: BSD-2-Clause
-#include <LibRouting/EventStream.h>
+#include <LibRouting/EventStreamSplitter.h>
 
 namespace Routing {
 
@@ -15,20 +15,20 @@
     return std::string::npos;
 }
 
-std::vector<std::string> EventStream::feed(std::string_view bytes)
+std::vector<std::string> EventStreamSplitter::feed(std::string_view bytes)
 {
-    // The blank line may begin in the bytes that were searched before.
+    // The blank line may begin up to two bytes before the new bytes.
     static constexpr size_t overlap = 3;
     m_pending.append(bytes);
     std::vector<std::string> events;
     size_t begin = 0;
-    size_t from = m_searched > overlap ? m_searched - overlap : 0;
+    size_t from = m_searched_bytes > overlap ? m_searched_bytes - overlap : 0;
     for (auto end = event_end(m_pending, from); end != std::string::npos; end = event_end(m_pending, begin)) {
         events.push_back(m_pending.substr(begin, end - begin));
         begin = end;
     }
     m_pending.erase(0, begin);
-    m_searched = m_pending.size();
+    m_searched_bytes = m_pending.size();
     return events;
 }
 
--- a/Libraries/LibRouting/FollowedEngines.cpp
+++ b/Libraries/LibRouting/FollowedEngines.cpp
@@ -7,7 +7,7 @@
 
 // An entry that has just started knows no others yet, and would follow all engines: for this long it follows a few near
 // ones. Other entries are heard of within a round trip or two of the first link, which takes some 100 ms.
-static constexpr Core::Duration acquaintance { 1500 };
+static constexpr Core::Duration discovery_time { 1500 };
 static constexpr size_t engines_before_acquaintance = 64;
 // Whom engines are dealt to changes with the demand of each second: a link outlasts a few such changes.
 static constexpr Core::Duration use_memory { 5000 };
@@ -25,7 +25,7 @@
     for (auto const& ip : used)
         m_used_until[ip] = now + use_memory;
     std::erase_if(m_used_until, [&](auto const& entry) { return entry.second <= now; });
-    bool const is_new_here = m_listed_since && now - *m_listed_since < acquaintance;
+    bool const is_new_here = m_listed_since && now - *m_listed_since < discovery_time;
     if (is_new_here)
         engines = nearest_engines(m_self, std::move(engines), engines_before_acquaintance, m_regions);
     std::set<std::string> followed;
--- a/Libraries/LibRouting/OnceTable.cpp
+++ b/Libraries/LibRouting/IdempotencyTable.cpp
@@ -1,23 +1,23 @@
 // SPDX-License-Identifier: BSD-2-Clause
-#include <LibRouting/OnceTable.h>
+#include <LibRouting/IdempotencyTable.h>
 
 namespace Routing {
 
-OnceTable::OnceTable(size_t most_bytes, Core::Duration lifetime)
-    : m_most_bytes(most_bytes)
+IdempotencyTable::IdempotencyTable(size_t max_bytes, Core::Duration lifetime)
+    : m_max_bytes(max_bytes)
     , m_lifetime(lifetime)
 {
 }
 
-OnceTable::Entry const* OnceTable::find(std::string const& key) const
+IdempotencyTable::Entry const* IdempotencyTable::find(std::string const& key) const
 {
     auto found = m_entries.find(key);
     return found == m_entries.end() ? nullptr : &found->second;
 }
 
-bool OnceTable::begin(std::string const& key, std::string customer, Core::Time now)
+bool IdempotencyTable::begin(std::string const& key, std::string customer, Core::Time now)
 {
-    if (m_bytes + bytes_per_key > m_most_bytes)
+    if (m_bytes + bytes_per_key > m_max_bytes)
         return false;
     Entry entry;
     entry.customer = std::move(customer);
@@ -28,19 +28,19 @@
     return true;
 }
 
-void OnceTable::forget(std::string const& key)
+void IdempotencyTable::remove(std::string const& key)
 {
     // Its row in m_by_age stays until expire() reaches it, and is skipped there.
     if (m_entries.erase(key) > 0)
         m_bytes -= bytes_per_key;
 }
 
-void OnceTable::answered(std::string const& key, KeptAnswer answer)
+void IdempotencyTable::record_answer(std::string const& key, StoredAnswer answer)
 {
     auto found = m_entries.find(key);
     if (found == m_entries.end())
         return;
-    bool const fits = answer.body.size() <= largest_kept_answer && m_bytes + answer.body.size() <= m_most_bytes;
+    bool const fits = answer.body.size() <= max_stored_body_bytes && m_bytes + answer.body.size() <= m_max_bytes;
     if (!fits) {
         found->second.state = State::Unknown;
         return;
@@ -50,14 +50,14 @@
     found->second.answer = std::move(answer);
 }
 
-void OnceTable::unknown(std::string const& key)
+void IdempotencyTable::unknown(std::string const& key)
 {
     auto found = m_entries.find(key);
     if (found != m_entries.end())
         found->second.state = State::Unknown;
 }
 
-void OnceTable::expire(Core::Time now)
+void IdempotencyTable::expire(Core::Time now)
 {
     while (!m_by_age.empty() && m_by_age.front().first + m_lifetime <= now) {
         auto found = m_entries.find(m_by_age.front().second);
--- a/Libraries/LibRouting/OnceTable.h
+++ b/Libraries/LibRouting/IdempotencyTable.h
@@ -12,7 +12,7 @@
 namespace Routing {
 
 /// The complete answer to a request that ran with an idempotency key.
-struct KeptAnswer {
+struct StoredAnswer {
     int64_t status { 0 };
     std::vector<Schema::Header> headers;
     std::string body;
@@ -20,7 +20,7 @@
 
 /// The idempotency keys whose home is this agent, each with the state of the request that ran with it and, where known, its answer.
 /// No other request may run with a key that is in the table.
-class OnceTable {
+class IdempotencyTable {
 public:
     enum class State {
         /// The request runs now.
@@ -35,11 +35,11 @@
         State state { State::Running };
         /// The customer that the key belongs to.
         std::string customer;
-        KeptAnswer answer;
+        StoredAnswer answer;
     };
 
-    /// `most_bytes`: limit on bytes(). `lifetime`: how long a key is kept after begin().
-    OnceTable(size_t most_bytes, Core::Duration lifetime);
+    /// `max_bytes`: limit on estimated_bytes(). `lifetime`: how long a key is kept after begin().
+    IdempotencyTable(size_t max_bytes, Core::Duration lifetime);
 
     /// @return nullptr if the key is not in the table.
     Entry const* find(std::string const& key) const;
@@ -50,9 +50,9 @@
     bool begin(std::string const& key, std::string customer, Core::Time now);
 
     /// Removes a key because no byte of its request reached the backend server: a request with the key may run again.
-    void forget(std::string const& key);
+    void remove(std::string const& key);
     /// Stores the complete answer. If it is too large to store, the key becomes Unknown, which still prevents a second run.
-    void answered(std::string const& key, KeptAnswer);
+    void record_answer(std::string const& key, StoredAnswer);
     /// Marks a key as Unknown.
     void unknown(std::string const& key);
 
@@ -62,15 +62,15 @@
 
     size_t size() const { return m_entries.size(); }
     /// Estimated memory use: bytes_per_key for each key, and the bodies of stored answers.
-    size_t bytes() const { return m_bytes; }
+    size_t estimated_bytes() const { return m_bytes; }
 
     /// Largest body of an answer that is stored, in bytes.
-    static constexpr size_t largest_kept_answer = 64 * 1024;
+    static constexpr size_t max_stored_body_bytes = 64 * 1024;
     /// Bytes counted for a key in addition to the body of its answer.
     static constexpr size_t bytes_per_key = 256;
 
 private:
-    size_t m_most_bytes;
+    size_t m_max_bytes;
     Core::Duration m_lifetime;
     std::unordered_map<std::string, Entry> m_entries;
     std::deque<std::pair<Core::Time, std::string>> m_by_age;
--- a/Libraries/LibRouting/Limits.cpp
+++ b/Libraries/LibRouting/Limits.cpp
@@ -24,39 +24,39 @@
     m_tokens = was_unset ? burst : std::min(m_tokens, burst);
 }
 
-void TokenBucket::fill(Core::Time now)
+void TokenBucket::refill(Core::Time now)
 {
-    if (m_filled_at && now > *m_filled_at) {
-        auto const seconds = static_cast<double>((now - *m_filled_at).count()) / 1000;
+    if (m_refilled_at && now > *m_refilled_at) {
+        auto const seconds = static_cast<double>((now - *m_refilled_at).count()) / 1000;
         m_tokens = std::min(m_burst, m_tokens + seconds * m_per_second);
     }
-    if (!m_filled_at || now > *m_filled_at)
-        m_filled_at = now;
+    if (!m_refilled_at || now > *m_refilled_at)
+        m_refilled_at = now;
 }
 
-double TokenBucket::level(Core::Time now)
+double TokenBucket::available(Core::Time now)
 {
-    fill(now);
+    refill(now);
     return m_tokens;
 }
 
-bool TokenBucket::take(double tokens, Core::Time now)
+bool TokenBucket::try_acquire(double tokens, Core::Time now)
 {
-    fill(now);
+    refill(now);
     if (m_tokens < tokens)
         return false;
     m_tokens -= tokens;
     return true;
 }
 
-void TokenBucket::give(double tokens)
+void TokenBucket::release(double tokens)
 {
     m_tokens = std::min(m_burst, m_tokens + tokens);
 }
 
-Core::Duration TokenBucket::wait_for(double tokens, Core::Time now)
+Core::Duration TokenBucket::time_until_available(double tokens, Core::Time now)
 {
-    fill(now);
+    refill(now);
     if (m_tokens >= tokens)
         return Core::Duration(0);
     if (m_per_second <= 0)
@@ -111,8 +111,8 @@
     auto& state = found->second;
     if (state.in_flight >= concurrency_share(state))
         return Refusal { Schema::Reason::OverConcurrency, concurrency_retry_after };
-    if (!state.bucket.take(1, now))
-        return Refusal { Schema::Reason::OverRate, state.bucket.wait_for(1, now) };
+    if (!state.bucket.try_acquire(1, now))
+        return Refusal { Schema::Reason::OverRate, state.bucket.time_until_available(1, now) };
     state.in_flight += 1;
     return {};
 }
@@ -137,21 +137,21 @@
 
 void RetryBudget::on_request()
 {
-    m_saved = std::min(most_saved, m_saved + m_ratio);
+    m_saved_retries = std::min(max_saved_retries, m_saved_retries + m_ratio);
 }
 
-bool RetryBudget::take()
+bool RetryBudget::try_acquire()
 {
-    if (m_saved < 1)
+    if (m_saved_retries < 1)
         return false;
-    m_saved -= 1;
+    m_saved_retries -= 1;
     return true;
 }
 
 Core::Duration spread_retry_after(Core::Duration base, std::mt19937_64& random)
 {
-    auto const least = std::max<int64_t>(1, base.count());
-    std::uniform_int_distribution<int64_t> wait(least, 2 * least);
+    auto const min_wait = std::max<int64_t>(1, base.count());
+    std::uniform_int_distribution<int64_t> wait(min_wait, 2 * min_wait);
     return Core::Duration(wait(random));
 }
 
--- a/Libraries/LibRouting/Limits.h
+++ b/Libraries/LibRouting/Limits.h
@@ -18,21 +18,21 @@
     /// Changes rate and burst. The tokens are kept, up to the new burst; a bucket whose burst was 0 is filled.
     void set(double per_second, double burst);
     /// @return false, without taking any, if there are fewer than `tokens`.
-    bool take(double tokens, Core::Time now);
+    bool try_acquire(double tokens, Core::Time now);
     /// Returns tokens to the bucket, up to the burst.
-    void give(double tokens);
+    void release(double tokens);
     /// Time until `tokens` are available; one minute if the rate is 0.
-    Core::Duration wait_for(double tokens, Core::Time now);
+    Core::Duration time_until_available(double tokens, Core::Time now);
     /// Tokens available now.
-    double level(Core::Time now);
+    double available(Core::Time now);
 
 private:
-    void fill(Core::Time now);
+    void refill(Core::Time now);
 
     double m_per_second;
     double m_burst;
     double m_tokens;
-    std::optional<Core::Time> m_filled_at;
+    std::optional<Core::Time> m_refilled_at;
 };
 
 /// Limits each customer's request rate and concurrency at one entry: to the customer's limits over all entries, times this entry's share.
@@ -83,14 +83,14 @@
 
     void on_request();
     /// @return whether a retry may be made; if so, it is deducted from the budget.
-    bool take();
+    bool try_acquire();
 
     /// The most retries that the budget accumulates, and that it starts with.
-    static constexpr double most_saved = 10;
+    static constexpr double max_saved_retries = 10;
 
 private:
     double m_ratio;
-    double m_saved { most_saved };
+    double m_saved_retries { max_saved_retries };
 };
 
 /// A random retry-after time between one and two times `base`, so that callers refused together don't retry together.
--- a/Libraries/LibRouting/PlaceWait.cpp
+++ b/Libraries/LibRouting/PlaceWait.cpp
@@ -30,7 +30,7 @@
 
 Timeliness PlaceWait::timeliness(WaitingRequest const& request, Core::Time begins) const
 {
-    return request.terms.of(begins, begins + service_time(request));
+    return request.terms.classify(begins, begins + service_time(request));
 }
 
 void PlaceWait::begin(WaitingRequest const& request, Core::Time now)
@@ -38,7 +38,7 @@
     m_is_late = !request.delivered_at && now > request.terms.in_time_until;
     auto& line = m_line_of(request.service);
     if (m_is_late && line.late == 0)
-        line.leftover.on_first_waiting(now);
+        line.leftover.on_wait_started(now);
 }
 
 bool PlaceWait::join(WaitingRequest const& request, Core::Time now)
@@ -92,7 +92,7 @@
     auto const interval = m_servers.place_interval(request.service, now);
     auto const usual = Core::Duration(static_cast<int64_t>(static_cast<double>(interval.count()) * m_policy.leftover_factor));
     auto const ahead = m_line ? 1 : line.late + 1;
-    auto const begins = now + line.leftover.gap(now, usual) * static_cast<int64_t>(ahead);
+    auto const begins = now + line.leftover.expected_interval(now, usual) * static_cast<int64_t>(ahead);
     return timeliness(request, begins) == Timeliness::TooLate;
 }
 
@@ -110,7 +110,7 @@
     auto const interval = m_servers.place_interval(request.service, now);
     auto const milliseconds = [](Core::Duration duration) { return std::to_string(duration.count()); };
     Core::log_event(Core::LogLevel::Info, "no_place_in_time",
-        { { "request", id }, { "in_line", m_line ? "yes" : "no" }, { "late", m_is_late ? "yes" : "no" }, { "late_waiting", std::to_string(line.late) }, { "waiting", std::to_string(line.queue.size()) }, { "late_interval_ms", milliseconds(line.leftover.gap(now, interval)) }, { "place_interval_ms", milliseconds(interval) }, { "left_ms", milliseconds(request.terms.deadline - now) }, { "service_ms", milliseconds(service_time(request)) } });
+        { { "request", id }, { "in_line", m_line ? "yes" : "no" }, { "late", m_is_late ? "yes" : "no" }, { "late_waiting", std::to_string(line.late) }, { "waiting", std::to_string(line.queue.size()) }, { "late_interval_ms", milliseconds(line.leftover.expected_interval(now, interval)) }, { "place_interval_ms", milliseconds(interval) }, { "left_ms", milliseconds(request.terms.deadline - now) }, { "service_ms", milliseconds(service_time(request)) } });
 }
 
 }
--- a/Libraries/LibRouting/PlaceWait.h
+++ b/Libraries/LibRouting/PlaceWait.h
@@ -2,10 +2,10 @@
 #pragma once
 
 #include <LibCore/Time.h>
-#include <LibRouting/AnswerTerms.h>
-#include <LibRouting/LeftoverPace.h>
+#include <LibRouting/AnswerDeadlines.h>
 #include <LibRouting/RequestQueue.h>
 #include <LibRouting/ServerTable.h>
+#include <LibRouting/SpareSlotInterval.h>
 #include <cstddef>
 #include <cstdint>
 #include <functional>
@@ -23,7 +23,7 @@
     }
 
     RequestQueue queue;
-    LeftoverPace leftover;
+    SpareSlotInterval leftover;
     /// Requests in the queue that can only be late.
     size_t late { 0 };
 };
@@ -50,7 +50,7 @@
     int64_t prompt_tokens { 0 };
     /// As far as the caller expects.
     int64_t answer_tokens { 0 };
-    AnswerTerms terms;
+    AnswerDeadlines terms;
     /// When events went to the caller last, of a stream that was cut.
     std::optional<Core::Time> delivered_at {};
 };
--- a/Libraries/LibRouting/RefusedRequests.h
+++ b/Libraries/LibRouting/RefusedRequests.h
@@ -14,7 +14,7 @@
     /// Digest of the request's content; see request_digest().
     std::string digest;
     /// When the caller sent its first request, of which this one may be a retry.
-    Core::Time first_asked { 0 };
+    Core::Time first_request_time { 0 };
     /// When the caller stops waiting.
     Core::Time deadline { 0 };
 };
@@ -31,10 +31,10 @@
     /// Finds the refused request that the present one retries, and removes it: each refusal leads to one retry.
     /// @param deadline when the caller of the present request stops waiting.
     /// @return when the caller sent its first request, or std::nullopt if the present request is not known to be a retry.
-    std::optional<Core::Time> take(std::string const& digest, Core::Time deadline, Core::Time now);
+    std::optional<Core::Time> take_first_request_time(std::string const& digest, Core::Time deadline, Core::Time now);
 
     /// Removes refusals whose callers have stopped waiting.
-    void forget_ended(Core::Time now);
+    void remove_expired(Core::Time now);
 
     size_t size() const { return m_refused.size(); }
 
--- a/Libraries/LibRouting/RequestFlow.cpp
+++ b/Libraries/LibRouting/RequestFlow.cpp
@@ -46,7 +46,7 @@
     m_assembly = {};
 }
 
-FlowAction RequestFlow::failure_answer(Schema::Reason reason) const
+FlowAction RequestFlow::failure_action(Schema::Reason reason) const
 {
     if (m_has_delivered)
         return BreakOff { reason };
@@ -63,10 +63,10 @@
     return actions;
 }
 
-FlowActions RequestFlow::retry_or(Schema::Reason reason, InstanceOutcome outcome, FlowAction otherwise, bool costs_budget)
+FlowActions RequestFlow::retry_or_end_with(Schema::Reason reason, InstanceOutcome outcome, FlowAction final_action, bool is_charged_to_budget)
 {
-    if (m_attempts >= m_settings.most_attempts || (costs_budget && !m_budget.take()))
-        return end_with(std::move(otherwise), outcome, reason);
+    if (m_attempts >= m_settings.max_attempts || (is_charged_to_budget && !m_budget.try_acquire()))
+        return end_with(std::move(final_action), outcome, reason);
     FlowActions actions;
     actions.push_back(AttemptOver { m_instance, outcome, reason, true });
     actions.push_back(NeedInstance {});
@@ -79,10 +79,10 @@
 {
     m_instance = instance;
     m_attempts += 1;
-    auto otherwise = m_may_have_run ? failure_answer(Schema::Reason::LinkLost) : FlowAction(GiveUp { Schema::Outcome::NotRun, Schema::Reason::LinkLost, not_run_retry_after });
-    if (m_attempts >= m_settings.most_attempts) {
+    auto final_action = m_may_have_run ? failure_action(Schema::Reason::LinkLost) : FlowAction(GiveUp { Schema::Outcome::NotRun, Schema::Reason::LinkLost, not_run_retry_after });
+    if (m_attempts >= m_settings.max_attempts) {
         m_phase = Phase::Over;
-        return { otherwise };
+        return { final_action };
     }
     m_excluded.insert(instance);
     return { NeedInstance {} };
@@ -104,7 +104,7 @@
     return {};
 }
 
-static bool is_worth_another_try(Schema::Reason reason)
+static bool should_retry_elsewhere(Schema::Reason reason)
 {
     switch (reason) {
     case Schema::Reason::Draining:
@@ -126,22 +126,22 @@
     auto const outcome = reason == Schema::Reason::ConnectFailed ? InstanceOutcome::Failure : InstanceOutcome::Neutral;
     auto const known = m_may_have_run ? Schema::Outcome::Unknown : Schema::Outcome::NotRun;
     auto give_up = GiveUp { known, reason, std::max(retry_after, not_run_retry_after) };
-    if (!is_worth_another_try(reason))
+    if (!should_retry_elsewhere(reason))
         return end_with(give_up, outcome, reason);
     // A refusal costs the instance almost nothing, so the retry is not charged to the budget.
-    bool const costs_budget = reason == Schema::Reason::ConnectFailed;
-    return retry_or(reason, outcome, give_up, costs_budget);
+    bool const is_charged_to_budget = reason == Schema::Reason::ConnectFailed;
+    return retry_or_end_with(reason, outcome, give_up, is_charged_to_budget);
 }
 
 FlowActions RequestFlow::fail_attempt(Schema::Reason reason, InstanceOutcome outcome)
 {
     m_may_have_run = true;
     if (may_repeat())
-        return retry_or(reason, outcome, failure_answer(reason), true);
-    return end_with(failure_answer(reason), outcome, reason);
+        return retry_or_end_with(reason, outcome, failure_action(reason), true);
+    return end_with(failure_action(reason), outcome, reason);
 }
 
-static bool says_something_of_the_instance(Schema::Reason reason)
+static bool counts_against_instance(Schema::Reason reason)
 {
     return reason == Schema::Reason::BackendBrokeOff || reason == Schema::Reason::BackendTimeout;
 }
@@ -150,7 +150,7 @@
 {
     if (!is_current(attempt))
         return {};
-    auto const outcome = says_something_of_the_instance(reason) ? InstanceOutcome::Failure : InstanceOutcome::Neutral;
+    auto const outcome = counts_against_instance(reason) ? InstanceOutcome::Failure : InstanceOutcome::Neutral;
     return fail_attempt(reason, outcome);
 }
 
@@ -160,7 +160,7 @@
         return {};
     m_is_accepted = true;
     FlowActions actions;
-    if (m_assembly.add(std::move(part)) == AnswerAssembly::PartResult::Impossible) {
+    if (m_assembly.add(std::move(part)) == AnswerAssembly::PartResult::Invalid) {
         actions.push_back(SendCancel { m_instance, m_attempt });
         auto rest = fail_attempt(Schema::Reason::AnswerIncomplete, InstanceOutcome::Failure);
         actions.insert(actions.end(), rest.begin(), rest.end());
@@ -228,13 +228,13 @@
             return on_no_instance(Schema::Reason::DeadlinePassed, not_run_retry_after);
         FlowActions actions { SendCancel { m_instance, m_attempt } };
         m_may_have_run = true;
-        auto rest = end_with(failure_answer(Schema::Reason::DeadlinePassed), InstanceOutcome::Failure, Schema::Reason::DeadlinePassed);
+        auto rest = end_with(failure_action(Schema::Reason::DeadlinePassed), InstanceOutcome::Failure, Schema::Reason::DeadlinePassed);
         actions.insert(actions.end(), rest.begin(), rest.end());
         return actions;
     }
-    if (m_phase == Phase::LinkDown && now >= m_link_down_at + m_settings.resume_wait)
+    if (m_phase == Phase::LinkDown && now >= m_link_down_at + m_settings.resume_timeout)
         return fail_attempt(Schema::Reason::LinkLost, InstanceOutcome::Failure);
-    bool const is_silent = m_phase == Phase::Dispatched && !m_is_accepted && now >= m_dispatched_at + m_settings.accept_wait;
+    bool const is_silent = m_phase == Phase::Dispatched && !m_is_accepted && now >= m_dispatched_at + m_settings.accept_timeout;
     if (is_silent && may_repeat()) {
         FlowActions actions { SendCancel { m_instance, m_attempt } };
         auto rest = fail_attempt(Schema::Reason::InstanceLost, InstanceOutcome::Failure);
--- a/Libraries/LibRouting/RequestFlow.h
+++ b/Libraries/LibRouting/RequestFlow.h
@@ -74,10 +74,10 @@
 
 struct FlowSettings {
     /// How long an agent may take to accept or refuse a repeatable request before it is sent elsewhere.
-    Core::Duration accept_wait { 1000 };
+    Core::Duration accept_timeout { 1000 };
     /// How long a request waits for a lost link to be connected again.
-    Core::Duration resume_wait { 3000 };
-    size_t most_attempts { 4 };
+    Core::Duration resume_timeout { 3000 };
+    size_t max_attempts { 4 };
     /// Number of parts after which the answer is acknowledged again.
     int64_t parts_per_acknowledgement { 16 };
 };
@@ -137,10 +137,10 @@
 
     bool is_current(std::string const& attempt) const;
     bool may_repeat() const;
-    FlowActions retry_or(Schema::Reason, InstanceOutcome, FlowAction otherwise, bool costs_budget);
+    FlowActions retry_or_end_with(Schema::Reason, InstanceOutcome, FlowAction final_action, bool is_charged_to_budget);
     FlowActions end_with(FlowAction last, std::optional<InstanceOutcome>, Schema::Reason);
     FlowActions fail_attempt(Schema::Reason, InstanceOutcome);
-    FlowAction failure_answer(Schema::Reason) const;
+    FlowAction failure_action(Schema::Reason) const;
 
     Schema::Repeatability m_repeatability;
     Core::Time m_deadline;
--- a/Libraries/LibRouting/ServerTable.cpp
+++ b/Libraries/LibRouting/ServerTable.cpp
@@ -470,7 +470,7 @@
             continue;
         bool const is_better = !best || own_cost < best_cost;
         ties = is_better ? 1 : ties + 1;
-        // Among equals each has the same chance.
+        // RunFilter equals each has the same chance.
         if (is_better || m_random() % ties == 0) {
             best = &server;
             best_cost = own_cost;
@@ -581,7 +581,7 @@
     return found == m_servers.end() ? nullptr : &found->second.entry;
 }
 
-void ServerTable::on_heard(std::string const& id, Core::Time now)
+void ServerTable::on_received(std::string const& id, Core::Time now)
 {
     auto const found = m_servers.find(id);
     if (found == m_servers.end())
--- a/Libraries/LibRouting/ServerTable.h
+++ b/Libraries/LibRouting/ServerTable.h
@@ -136,7 +136,7 @@
     /// It says nothing of the request, which holds no place there any more, and may be answered later all the same.
     void on_silent(std::string const& id, std::string const& request, Core::Time now);
     /// Some bytes of an answer came from the server, to whichever request.
-    void on_heard(std::string const& id, Core::Time now);
+    void on_received(std::string const& id, Core::Time now);
     /// The server has answered some request just now: one that hears nothing there waits behind others.
     bool is_answering(std::string const& id, Core::Time now) const;
 
@@ -239,7 +239,7 @@
     int64_t room(Server const&, Core::Time now) const;
     /// Whether this entry has taken its part of the places that the last report showed free at another's engine.
     bool has_taken_its_part(Server const&, Core::Time now) const;
-    /// Among how many the places are shared that a report showed free.
+    /// RunFilter how many the places are shared that a report showed free.
     int64_t sharers(EngineRole) const;
     bool has_room(Server const&, Core::Time now) const;
     Load load(Server const&, EngineTimes const&, Core::Time now) const;
--- a/Libraries/LibRouting/RetryShare.h
+++ b/Libraries/LibRouting/SharedRetryBudget.h
@@ -10,7 +10,7 @@
 namespace Routing {
 
 /// The limit on retries (attempts after the first one of a request) per service, for all entries together.
-struct RetryBound {
+struct RetryLimit {
     /// Retries allowed per request to the service within the window.
     double ratio { 0.1 };
     Core::Duration window { 10000 };
@@ -21,9 +21,9 @@
 /// One entry's share of the limit on retries, per service, without a coordinator: the ratio applied to the requests of this entry, and
 /// an equal part of the slack. The window is counted in whole seconds and rounded up, so that no retry leaves it too early. An entry
 /// spends less than its share, and far less in its first window after a start, so that all entries together stay within the limit.
-class RetryShare {
+class SharedRetryBudget {
 public:
-    RetryShare(RetryBound, Core::Time now);
+    SharedRetryBudget(RetryLimit, Core::Time now);
 
     /// Sets how many entries share the slack. The highest number ever set is used, because an entry that is unreachable from here
     /// still spends its part.
@@ -36,22 +36,22 @@
     bool try_spend(std::string const& service, Core::Time now);
 
     /// Whether try_spend() would succeed.
-    bool has_left(std::string const& service, Core::Time now);
+    bool has_remaining(std::string const& service, Core::Time now);
 
 private:
-    struct Slot {
+    struct SecondCounts {
         Core::Time second { 0 };
         double requests { 0 };
         double retries { 0 };
     };
 
-    Slot& slot(std::string const& service, Core::Time now);
-    double left(std::string const& service, Core::Time now);
+    SecondCounts& current_counts(std::string const& service, Core::Time now);
+    double remaining_retries(std::string const& service, Core::Time now);
 
-    RetryBound m_bound;
+    RetryLimit m_limit;
     Core::Time m_started;
     size_t m_entries { 1 };
-    std::map<std::string, std::deque<Slot>> m_services;
+    std::map<std::string, std::deque<SecondCounts>> m_services;
 };
 
 }
--- a/Services/Agent/RequestRunner.cpp
+++ b/Services/Agent/RequestRunner.cpp
@@ -91,7 +91,7 @@
         run(entry, dispatch);
 }
 
-void RequestRunner::replay(std::string const& entry, Schema::Dispatch const& dispatch, Routing::KeptAnswer const& answer)
+void RequestRunner::replay(std::string const& entry, Schema::Dispatch const& dispatch, Routing::StoredAnswer const& answer)
 {
     m_metrics.count("mountbarrow_agent_replayed_total");
     auto& attempt = m_attempts.emplace(dispatch.attempt, Attempt { entry, dispatch, Routing::AnswerBuffer(dispatch.attempt), nullptr, {}, true, true, true, {} }).first->second;
@@ -161,10 +161,10 @@
     auto& attempt = m_attempts.at(id);
     if (attempt.dispatch.key && attempt.is_kept_whole) {
         attempt.kept.body += data;
-        attempt.is_kept_whole = attempt.kept.body.size() <= Routing::OnceTable::largest_kept_answer;
+        attempt.is_kept_whole = attempt.kept.body.size() <= Routing::IdempotencyTable::max_stored_body_bytes;
     }
     send_part(attempt, attempt.buffer.append(std::string(data), false));
-    if (attempt.buffer.kept_bytes() <= most_unacknowledged_bytes)
+    if (attempt.buffer.unacknowledged_bytes() <= most_unacknowledged_bytes)
         return;
     bool const must_finish = attempt.dispatch.repeatability == Schema::Repeatability::Once;
     broken(attempt.entry, id, Schema::Reason::AnswerIncomplete);
@@ -174,7 +174,7 @@
         attempt.buffer = Routing::AnswerBuffer(id);
         return;
     }
-    forget(id);
+    remove(id);
 }
 
 void RequestRunner::on_done(std::string const& id)
@@ -183,7 +183,7 @@
     attempt.has_ended = true;
     if (attempt.dispatch.key) {
         if (attempt.is_kept_whole)
-            m_once.answered(*attempt.dispatch.key, std::move(attempt.kept));
+            m_once.record_answer(*attempt.dispatch.key, std::move(attempt.kept));
         else
             m_once.unknown(*attempt.dispatch.key);
     }
@@ -203,7 +203,7 @@
     bool const was_not_run = failure == Transport::HttpFailure::NotConnected;
     if (attempt.dispatch.key) {
         if (was_not_run)
-            m_once.forget(*attempt.dispatch.key);
+            m_once.remove(*attempt.dispatch.key);
         else
             m_once.unknown(*attempt.dispatch.key);
     }
@@ -212,16 +212,16 @@
             refuse(attempt.entry, id, Schema::Reason::ConnectFailed);
         else
             broken(attempt.entry, id, failure == Transport::HttpFailure::TimedOut ? Schema::Reason::BackendTimeout : Schema::Reason::BackendBrokeOff);
-        forget(id);
+        remove(id);
         return;
     }
     // The entry may still ask what became of it.
     attempt.has_ended = true;
     m_tombstones[id] = Core::monotonic_now();
-    forget(id);
+    remove(id);
 }
 
-void RequestRunner::forget(std::string const& id)
+void RequestRunner::remove(std::string const& id)
 {
     m_tombstones[id] = Core::monotonic_now();
     // The call must not be destroyed inside its own callback.
@@ -238,7 +238,7 @@
         return;
     found->second.buffer.acknowledge(next_sequence);
     if (found->second.has_ended && found->second.buffer.is_acknowledged())
-        forget(id);
+        remove(id);
 }
 
 void RequestRunner::on_resume(std::string const& entry, Schema::Resume const& resume)
@@ -261,7 +261,7 @@
     attempt.entry = entry;
     attempt.orphaned_at.reset();
     attempt.buffer.acknowledge(resume.next_sequence);
-    for (auto& part : attempt.buffer.since(resume.next_sequence))
+    for (auto& part : attempt.buffer.parts_from(resume.next_sequence))
         send_part(attempt, std::move(part));
 }
 
@@ -274,7 +274,7 @@
     }
     if (found->second.dispatch.repeatability == Schema::Repeatability::Repeatable || found->second.has_ended) {
         m_metrics.count("mountbarrow_agent_cancelled_total");
-        forget(id);
+        remove(id);
         return;
     }
     // Cutting it off would leave its outcome open: it runs to its end, for the record.
@@ -302,7 +302,7 @@
     }
     for (auto const& id : abandoned) {
         m_metrics.count("mountbarrow_agent_abandoned_total");
-        forget(id);
+        remove(id);
     }
 }
 
--- a/Services/Agent/RequestRunner.h
+++ b/Services/Agent/RequestRunner.h
@@ -6,7 +6,7 @@
 #include <LibMembership/KeyHome.h>
 #include <LibRouting/Admission.h>
 #include <LibRouting/AnswerBuffer.h>
-#include <LibRouting/OnceTable.h>
+#include <LibRouting/IdempotencyTable.h>
 #include <LibSchema/Generated.h>
 #include <LibTransport/HttpClient.h>
 #include <functional>
@@ -53,7 +53,7 @@
         Schema::Dispatch dispatch;
         Routing::AnswerBuffer buffer;
         std::unique_ptr<Transport::HttpCall> call;
-        Routing::KeptAnswer kept;
+        Routing::StoredAnswer kept;
         bool is_kept_whole { true };
         bool has_head { false };
         bool has_ended { false };
@@ -62,7 +62,7 @@
     };
 
     void run(std::string const& entry, Schema::Dispatch const&);
-    void replay(std::string const& entry, Schema::Dispatch const&, Routing::KeptAnswer const&);
+    void replay(std::string const& entry, Schema::Dispatch const&, Routing::StoredAnswer const&);
     void refuse(std::string const& entry, std::string const& attempt, Schema::Reason);
     void broken(std::string const& entry, std::string const& attempt, Schema::Reason);
     void on_head(std::string const& attempt, int status, Transport::HttpHeaders const&);
@@ -70,7 +70,7 @@
     void on_done(std::string const& attempt);
     void on_failed(std::string const& attempt, Transport::HttpFailure);
     void send_part(Attempt&, Schema::Part);
-    void forget(std::string const& attempt);
+    void remove(std::string const& attempt);
     void note_slot_freed();
     void housekeep();
 
@@ -82,7 +82,7 @@
     View m_view;
     SlotFreed m_slot_freed;
     bool m_has_refused_as_busy { false };
-    Routing::OnceTable m_once;
+    Routing::IdempotencyTable m_once;
     std::map<std::string, Attempt> m_attempts;
     // Attempts that ended or were refused: a late dispatch of one must not run.
     std::map<std::string, Core::Time> m_tombstones;
--- a/Services/DirectEntry/CrashWatch.cpp
+++ b/Services/DirectEntry/CrashWatch.cpp
@@ -86,8 +86,8 @@
     // An entry that no other reaches hears of a blame here alone.
     m_kept.read_soon();
     auto const now = Core::monotonic_now();
-    auto const blamed = m_suspects.on_server_ended(incarnation, { run }, now);
-    news().suspects.push_back(m_suspects.to_tell(run.digest, now));
+    auto const blamed = m_suspects.on_server_terminated(incarnation, { run }, now);
+    news().suspects.push_back(m_suspects.to_announce(run.digest, now));
     auto const* suspect = m_suspects.find(run.digest);
     Core::log_event(Core::LogLevel::Warn, "request_suspected", { { "digest", run.digest }, { "server", incarnation }, { "alone", run.was_alone ? "yes" : "no" }, { "ends", std::to_string(suspect ? suspect->ends.size() : 0) } });
     note_blamed(blamed, "own");
@@ -103,7 +103,7 @@
         }
         m_metrics.count("mountbarrow_requests_blamed_total", "from=\"" + std::string(from) + "\"");
         Core::log_event(Core::LogLevel::Error, "request_blamed", { { "digest", digest }, { "from", from }, { "servers", servers } });
-        m_kept.keep(m_suspects.to_tell(digest, Core::monotonic_now()));
+        m_kept.keep(m_suspects.to_announce(digest, Core::monotonic_now()));
         m_callbacks.blamed(digest);
     }
 }
@@ -135,20 +135,20 @@
 
 // Runs of suspects.
 
-Routing::CrashSend CrashWatch::on_sent(std::string const& digest, std::string const& server)
+Routing::CrashRestriction CrashWatch::on_sent(std::string const& digest, std::string const& server)
 {
     auto const sent = m_suspects.on_sent(digest, server, Core::monotonic_now());
-    if (sent != Routing::CrashSend::Free)
-        news().runs.push_back({ .alone = sent == Routing::CrashSend::Alone, .digest = digest, .is_over = false, .server = server });
+    if (sent != Routing::CrashRestriction::Free)
+        news().runs.push_back({ .alone = sent == Routing::CrashRestriction::Alone, .digest = digest, .is_over = false, .server = server });
     return sent;
 }
 
-void CrashWatch::on_send_over(std::string const& digest, Routing::CrashSend sent)
+void CrashWatch::on_attempt_over(std::string const& digest, Routing::CrashRestriction sent)
 {
-    if (sent == Routing::CrashSend::Free)
+    if (sent == Routing::CrashRestriction::Free)
         return;
-    m_suspects.on_send_over(digest);
-    news().runs.push_back({ .alone = sent == Routing::CrashSend::Alone, .digest = digest, .is_over = true, .server = {} });
+    m_suspects.on_attempt_over(digest);
+    news().runs.push_back({ .alone = sent == Routing::CrashRestriction::Alone, .digest = digest, .is_over = true, .server = {} });
 }
 
 // Other entries.
@@ -157,13 +157,13 @@
 {
     Schema::Message message;
     message.crash_news.emplace();
-    message.crash_news->suspects = m_suspects.worth_telling(Core::monotonic_now());
-    message.crash_news->runs = m_suspects.own_runs();
+    message.crash_news->suspects = m_suspects.suspects_to_announce(Core::monotonic_now());
+    message.crash_news->runs = m_suspects.local_runs();
     if (!message.crash_news->suspects.empty())
         m_callbacks.send(entry, message);
 }
 
-void CrashWatch::on_news(std::string const& entry, Schema::CrashNews const& told)
+void CrashWatch::on_announcement(std::string const& entry, Schema::CrashNews const& told)
 {
     auto const now = Core::monotonic_now();
     for (auto const& suspect : told.suspects)
--- a/Services/DirectEntry/CrashWatch.h
+++ b/Services/DirectEntry/CrashWatch.h
@@ -45,12 +45,12 @@
     /// The request ran to its end at some server.
     void on_ran_to_end(std::string const& digest);
 
-    Routing::CrashSend on_sent(std::string const& digest, std::string const& server);
-    void on_send_over(std::string const& digest, Routing::CrashSend);
+    Routing::CrashRestriction on_sent(std::string const& digest, std::string const& server);
+    void on_attempt_over(std::string const& digest, Routing::CrashRestriction);
 
     /// An entry has a new link: it may know nothing yet.
     void on_entry_linked(std::string const& entry) const;
-    void on_news(std::string const& entry, Schema::CrashNews const&);
+    void on_announcement(std::string const& entry, Schema::CrashNews const&);
     void on_entry_gone(std::string const& entry) { m_suspects.on_peer_gone(entry); }
 
     /// The operator lets the request run again. @return false if it is no suspect.
--- a/Services/DirectEntry/DirectEntry.cpp
+++ b/Services/DirectEntry/DirectEntry.cpp
@@ -24,7 +24,7 @@
 // Engines are dealt anew soon after an entry or an engine comes, but not for each one that comes beside it.
 static constexpr Core::Duration least_roles_interval { 100 };
 // Within this an entry that starts is linked to a seed and has heard from it of the others, where the seed is up.
-static constexpr Core::Duration acquaintance { 2000 };
+static constexpr Core::Duration discovery_time { 2000 };
 // Whoever stood still for this long has lost its links.
 static constexpr Core::Duration told_pause = Transport::LinkKeepAlive {}.silence;
 // What waited in a socket during a pause is read within this after it.
@@ -60,9 +60,9 @@
     return result;
 }
 
-static Routing::RetryBound retry_bound(Schema::DirectEntrySettings const& settings)
+static Routing::RetryLimit retry_bound(Schema::DirectEntrySettings const& settings)
 {
-    Routing::RetryBound bound;
+    Routing::RetryLimit bound;
     bound.ratio = settings.bounds.retry_ratio;
     bound.window = Core::Duration(static_cast<int64_t>(settings.bounds.retry_window_s * milliseconds_per_second));
     bound.slack = settings.bounds.retry_slack;
@@ -284,9 +284,9 @@
     } else if (message.facts) {
         m_facts.on_batch(from.identity, *message.facts);
     } else if (message.crash_news) {
-        m_crashes.on_news(from.identity, *message.crash_news);
+        m_crashes.on_announcement(from.identity, *message.crash_news);
     } else if (message.refusals) {
-        m_returning.on_news(from.identity, *message.refusals, now);
+        m_returning.on_announcement(from.identity, *message.refusals, now);
     } else if (message.ping && message.ping->configuration_end) {
         m_facts.on_peer_end(from.identity, *message.ping->configuration_end, message.ping->configuration_version);
     }
@@ -422,7 +422,7 @@
             wanted[entry] = { entry, link_port };
     }
     // Seeds know entries of every region, which the agents that this one follows may not.
-    bool const is_new_here = now - m_started_at < acquaintance;
+    bool const is_new_here = now - m_started_at < discovery_time;
     if (is_new_here || m_known_entries.empty() || !m_context.routes) {
         for (auto const& seed : m_settings.seeds.value_or(std::vector<std::string> {})) {
             auto const address = Transport::split_address(seed);
--- a/Services/DirectEntry/DirectEntry.h
+++ b/Services/DirectEntry/DirectEntry.h
@@ -117,7 +117,7 @@
     Core::Time m_roles_at { 0 };
     Core::Time m_started_at;
     Routing::ServerTable m_servers;
-    Routing::RetryShare m_retries;
+    Routing::SharedRetryBudget m_retries;
     PeerAbilities m_abilities;
     CrashWatch m_crashes;
     // Null where the settings give it no port or no bandwidth.
--- a/Services/DirectEntry/ProxiedRequest.cpp
+++ b/Services/DirectEntry/ProxiedRequest.cpp
@@ -10,9 +10,9 @@
 
 namespace DirectEntry {
 
+using Routing::AttemptOutcome;
 using Routing::longest_retry_after;
 using Routing::NextStep;
-using Routing::SendEnd;
 using Routing::ServerOutcome;
 
 static constexpr int status_unauthorized = 401;
@@ -79,7 +79,7 @@
 {
     m_first_asked = m_started;
     if (m_head.deadline)
-        m_first_asked = m_context.returning.first_asked(
+        m_first_asked = m_context.returning.first_request_time(
             m_route.name, *m_head.deadline, [this] { return m_suspected.digest(); }, m_started);
     m_terms.in_time_until = m_first_asked + Core::Duration(m_route.objective_ms) - answer_margin;
     m_terms.deadline = deadline();
@@ -216,7 +216,7 @@
         return true;
     auto const now = Core::monotonic_now();
     // Its time may have passed while the process stood still; then it is answered at the next look at the time.
-    bool const has_budget = m_silent.empty() || m_context.retries.has_left(m_service, now);
+    bool const has_budget = m_silent.empty() || m_context.retries.has_remaining(m_service, now);
     if (!m_context.is_awake() || now >= deadline() || !m_suspected.may_send() || !has_budget) {
         m_no_server = Routing::NoServer::AllFull;
         return false;
@@ -326,8 +326,8 @@
     if (is_over())
         return;
     auto const now = Core::monotonic_now();
-    send.on_heard(moment(now));
-    m_context.servers.on_heard(send.target().id, now);
+    send.on_received(moment(now));
+    m_context.servers.on_received(send.target().id, now);
     if (m_phase == Phase::Waiting)
         go_on_with(send);
     if (is_stream() && is_trusted_success(send)) {
@@ -335,7 +335,7 @@
         return;
     }
     if (send.body.size() + data.size() > most_buffered_answer) {
-        end_send(send, SendEnd::BrokenOff, ServerOutcome::Failure);
+        end_send(send, AttemptOutcome::BrokenOff, ServerOutcome::Failure);
         return;
     }
     send.body.append(data);
@@ -344,8 +344,8 @@
 void ProxiedRequest::pass_events(ServerSend& send, std::string_view data)
 {
     auto const events = send.events.feed(data);
-    if (send.events.is_overgrown()) {
-        end_send(send, SendEnd::BrokenOff, ServerOutcome::Failure);
+    if (send.events.is_oversized()) {
+        end_send(send, AttemptOutcome::BrokenOff, ServerOutcome::Failure);
         return;
     }
     std::string out;
@@ -366,7 +366,7 @@
         deliver(send, out);
     if (has_gap && !is_over()) {
         m_context.metrics.count("mountbarrow_event_gaps_total");
-        end_send(send, SendEnd::BrokenOff, ServerOutcome::Failure);
+        end_send(send, AttemptOutcome::BrokenOff, ServerOutcome::Failure);
     }
 }
 
@@ -400,13 +400,13 @@
     auto const& answer = send.answer();
     if (answer.is_not_run) {
         m_server_retry_after = answer.retry_after;
-        end_send(send, SendEnd::NotRun, answer.status == status_misdirected ? ServerOutcome::Misdirected : ServerOutcome::Full);
+        end_send(send, AttemptOutcome::NotRun, answer.status == status_misdirected ? ServerOutcome::Misdirected : ServerOutcome::Full);
         return;
     }
     bool const is_other_answer = answer.request_id != m_head.request_id;
     bool const is_false_success = answer.status / 100 == 2 && !answer.is_genuine;
     if (is_other_answer || is_false_success) {
-        end_send(send, SendEnd::BrokenOff, ServerOutcome::Failure);
+        end_send(send, AttemptOutcome::BrokenOff, ServerOutcome::Failure);
         return;
     }
     if (answer.status / 100 != 2) {
@@ -453,7 +453,7 @@
         return;
     }
     m_suspected.on_ran_to_end();
-    end_send(send, SendEnd::ServerFailure, ServerOutcome::Failure);
+    end_send(send, AttemptOutcome::ServerFailure, ServerOutcome::Failure);
 }
 
 void ProxiedRequest::on_failed(ServerSend& send, Transport::CallFailure failure)
@@ -462,7 +462,7 @@
         return;
     bool const is_unsent = failure == Transport::CallFailure::NotConnected || failure == Transport::CallFailure::Refused;
     if (is_unsent)
-        end_send(send, SendEnd::NotConnected, ServerOutcome::Unreachable);
+        end_send(send, AttemptOutcome::NotConnected, ServerOutcome::Unreachable);
     else
         on_broken_off(send);
 }
@@ -493,10 +493,10 @@
     }
     if (has_ended) {
         m_suspected.on_ended_under(send.incarnation());
-        end_send(send, SendEnd::ServerEnded, ServerOutcome::Unreachable);
+        end_send(send, AttemptOutcome::ServerTerminated, ServerOutcome::Unreachable);
         return;
     }
-    end_send(send, SendEnd::BrokenOff, m_context.servers.is_switching(send.target().id, Core::monotonic_now()) ? ServerOutcome::Neutral : ServerOutcome::Failure);
+    end_send(send, AttemptOutcome::BrokenOff, m_context.servers.is_switching(send.target().id, Core::monotonic_now()) ? ServerOutcome::Neutral : ServerOutcome::Failure);
 }
 
 // Sends whose servers are silent.
@@ -512,14 +512,14 @@
 {
     if (m_suspected.standing() != Routing::CrashStanding::Clear) {
         // Of a request that may end its servers no two copies run.
-        end_send(*m_send, SendEnd::Silent, ServerOutcome::Unreachable);
+        end_send(*m_send, AttemptOutcome::Silent, ServerOutcome::Unreachable);
         return;
     }
     m_context.metrics.count("mountbarrow_silent_sends_total");
     Core::log_event(Core::LogLevel::Info, "send_silent",
         { { "request", m_head.request_id }, { "server", m_send->target().id }, { "heard_ms_ago", milliseconds(now - m_send->heard_at()) }, { "ran_since_heard_ms", milliseconds(m_send->silent_for(m_context.running_time())) }, { "last_event", m_last_event ? std::to_string(*m_last_event) : "" } });
     m_context.servers.on_silent(m_send->target().id, m_head.request_id, now);
-    m_suspected.on_send_over();
+    m_suspected.on_attempt_over();
     m_tried[m_send->target().id] = m_send->target().started_at_ms;
     m_may_have_run = true;
     m_silent.push_back(std::move(m_send));
@@ -559,7 +559,7 @@
     m_send = *last;
     std::erase(m_silent, m_send);
     m_phase = Phase::Sent;
-    m_send->on_heard({ m_send->heard_at(), m_context.running_time() });
+    m_send->on_received({ m_send->heard_at(), m_context.running_time() });
     m_suspected.on_sent(m_send->target().id);
     return true;
 }
@@ -574,7 +574,7 @@
 }
 
 /// A silent send is over; whatever was begun beside it goes on.
-void ProxiedRequest::end_silent_send(ServerSend& send, SendEnd end, ServerOutcome outcome)
+void ProxiedRequest::end_silent_send(ServerSend& send, AttemptOutcome end, ServerOutcome outcome)
 {
     auto const now = Core::monotonic_now();
     auto const ended = send.shared_from_this();
@@ -582,9 +582,9 @@
     std::erase(m_silent, ended);
     m_context.servers.on_ended(ended->target().id, m_head.request_id, outcome, now);
     count_end(end);
-    m_context.metrics.count("mountbarrow_sends_ended_total", std::string("reason=\"") + Routing::send_end_name(end) + "\"");
+    m_context.metrics.count("mountbarrow_sends_ended_total", std::string("reason=\"") + Routing::attempt_outcome_name(end) + "\"");
     Core::log_event(Core::LogLevel::Info, "silent_send_ended",
-        { { "request", m_head.request_id }, { "server", ended->target().id }, { "end", Routing::send_end_name(end) }, { "after_ms", milliseconds(now - ended->sent_at()) } });
+        { { "request", m_head.request_id }, { "server", ended->target().id }, { "end", Routing::attempt_outcome_name(end) }, { "after_ms", milliseconds(now - ended->sent_at()) } });
 }
 
 /// What the request is told by from others, whatever its id. What a server runs is given by these, and not by the key.
@@ -600,7 +600,7 @@
 
 void ProxiedRequest::leave_server(ServerOutcome outcome, Core::Time now)
 {
-    m_suspected.on_send_over();
+    m_suspected.on_attempt_over();
     m_context.servers.on_ended(m_send->target().id, m_head.request_id, outcome, now);
 }
 
@@ -611,27 +611,27 @@
     state.is_resumable = m_route.is_resumable;
     state.has_delivered = m_has_delivered;
     state.may_have_run = m_may_have_run;
-    state.sends = m_sends;
+    state.attempts = m_sends;
     state.max_attempts = m_route.max_attempts;
-    state.misses = m_misses;
-    state.ended_servers = m_ended_servers;
-    state.has_budget = m_context.retries.has_left(m_service, now);
+    state.attempts_not_run = m_misses;
+    state.terminated_servers = m_ended_servers;
+    state.has_budget = m_context.retries.has_remaining(m_service, now);
     state.remaining = deadline() - now;
     return state;
 }
 
 /// What ran nothing, or ended with its server, is no attempt of the route's.
-void ProxiedRequest::count_end(SendEnd end)
+void ProxiedRequest::count_end(AttemptOutcome end)
 {
-    if (end == SendEnd::NotConnected || end == SendEnd::NotRun)
+    if (end == AttemptOutcome::NotConnected || end == AttemptOutcome::NotRun)
         m_misses += 1;
-    if (end == SendEnd::NotRun || end == SendEnd::ServerEnded)
+    if (end == AttemptOutcome::NotRun || end == AttemptOutcome::ServerTerminated)
         m_sends -= 1;
-    if (end == SendEnd::ServerEnded)
+    if (end == AttemptOutcome::ServerTerminated)
         m_ended_servers += 1;
 }
 
-void ProxiedRequest::end_send(ServerSend& send, SendEnd end, ServerOutcome outcome)
+void ProxiedRequest::end_send(ServerSend& send, AttemptOutcome end, ServerOutcome outcome)
 {
     if (!is_current(send)) {
         end_silent_send(send, end, outcome);
@@ -645,28 +645,28 @@
     // One that was only full may have room by the time that another is wanted.
     if (outcome != ServerOutcome::Full)
         m_tried[m_send->target().id] = m_send->target().started_at_ms;
-    bool const is_miss = end == SendEnd::NotConnected || end == SendEnd::NotRun;
+    bool const is_miss = end == AttemptOutcome::NotConnected || end == AttemptOutcome::NotRun;
     count_end(end);
     auto const step = Routing::next_step(end, attempt_state(now));
     if (!is_miss)
         m_may_have_run = true;
-    m_context.metrics.count("mountbarrow_sends_ended_total", std::string("reason=\"") + Routing::send_end_name(end) + "\"");
+    m_context.metrics.count("mountbarrow_sends_ended_total", std::string("reason=\"") + Routing::attempt_outcome_name(end) + "\"");
     Core::log_event(Core::LogLevel::Info, "send_ended",
-        { { "request", m_head.request_id }, { "server", m_send->target().id }, { "end", Routing::send_end_name(end) }, { "status", std::to_string(m_send->has_head() ? m_send->answer().status : 0) }, { "after_ms", milliseconds(now - m_send->sent_at()) }, { "heard_ms_ago", milliseconds(now - m_send->heard_at()) }, { "ran_since_heard_ms", milliseconds(m_send->silent_for(m_context.running_time())) }, { "has_budget", m_context.retries.has_left(m_service, now) ? "yes" : "no" }, { "next", std::to_string(static_cast<int>(step)) }, { "last_event", m_last_event ? std::to_string(*m_last_event) : "" } });
+        { { "request", m_head.request_id }, { "server", m_send->target().id }, { "end", Routing::attempt_outcome_name(end) }, { "status", std::to_string(m_send->has_head() ? m_send->answer().status : 0) }, { "after_ms", milliseconds(now - m_send->sent_at()) }, { "heard_ms_ago", milliseconds(now - m_send->heard_at()) }, { "ran_since_heard_ms", milliseconds(m_send->silent_for(m_context.running_time())) }, { "has_budget", m_context.retries.has_remaining(m_service, now) ? "yes" : "no" }, { "next", std::to_string(static_cast<int>(step)) }, { "last_event", m_last_event ? std::to_string(*m_last_event) : "" } });
     take_step(step, end);
 }
 
-void ProxiedRequest::take_step(NextStep step, SendEnd end)
+void ProxiedRequest::take_step(NextStep step, AttemptOutcome end)
 {
-    bool const goes_on = step == NextStep::SendAgain || step == NextStep::Resume;
-    bool const has_answer = step == NextStep::PassFailure;
+    bool const goes_on = step == NextStep::RetryFromStart || step == NextStep::Resume;
+    bool const has_answer = step == NextStep::ForwardFailure;
     if (!goes_on && !has_answer && return_to_silent())
         return;
     switch (step) {
-    case NextStep::SendAgain:
+    case NextStep::RetryFromStart:
     case NextStep::Resume:
         // A call that never connected did not arrive anywhere, so it costs nothing.
-        if (!m_silent.empty() || end == SendEnd::NotConnected || m_context.retries.try_spend(m_service, Core::monotonic_now())) {
+        if (!m_silent.empty() || end == AttemptOutcome::NotConnected || m_context.retries.try_spend(m_service, Core::monotonic_now())) {
             send_again();
             return;
         }
@@ -677,7 +677,7 @@
         else
             refuse_not_run();
         return;
-    case NextStep::PassFailure:
+    case NextStep::ForwardFailure:
         if (promises_not_run(m_send->answer().status))
             refuse(status_bad_gateway, Refusal::OutcomeUnknown, {});
         else
@@ -686,8 +686,8 @@
     case NextStep::RefuseNotRun:
         refuse_not_run();
         return;
-    case NextStep::AnswerUnknown:
-        refuse(end == SendEnd::Silent || end == SendEnd::Outdated ? status_gateway_timeout : status_bad_gateway, Refusal::OutcomeUnknown, {});
+    case NextStep::ReportUnknown:
+        refuse(end == AttemptOutcome::Silent || end == AttemptOutcome::Outdated ? status_gateway_timeout : status_bad_gateway, Refusal::OutcomeUnknown, {});
         return;
     case NextStep::BreakOff:
         break_off(Refusal::BrokenOff);
@@ -733,7 +733,7 @@
     if (m_phase == Phase::Asking)
         return;
     if (m_phase == Phase::Sent && is_outdated(*m_send, now)) {
-        end_send(*m_send, SendEnd::Outdated, ServerOutcome::Neutral);
+        end_send(*m_send, AttemptOutcome::Outdated, ServerOutcome::Neutral);
         return;
     }
     auto const objective = m_has_delivered ? m_route.objective_gap_ms : m_route.objective_ms;
@@ -755,10 +755,10 @@
 
 void ProxiedRequest::drop_outdated_silent(Core::Time now)
 {
-    auto const sends = m_silent;
-    for (auto const& send : sends) {
+    auto const attempts = m_silent;
+    for (auto const& send : attempts) {
         if (is_outdated(*send, now))
-            end_silent_send(*send, SendEnd::Outdated, ServerOutcome::Neutral);
+            end_silent_send(*send, AttemptOutcome::Outdated, ServerOutcome::Neutral);
     }
 }
 
--- a/Services/DirectEntry/ProxiedRequest.h
+++ b/Services/DirectEntry/ProxiedRequest.h
@@ -5,7 +5,7 @@
 #include "ServerSend.h"
 #include "SuspectedRequest.h"
 #include <LibPlatform/RequestHeads.h>
-#include <LibRouting/AnswerTerms.h>
+#include <LibRouting/AnswerDeadlines.h>
 #include <LibRouting/AttemptPolicy.h>
 #include <LibTransport/IngressServer.h>
 #include <map>
@@ -89,17 +89,17 @@
     void go_on_with(ServerSend&);
     bool return_to_silent();
     void leave_silent();
-    void end_silent_send(ServerSend&, Routing::SendEnd, Routing::ServerOutcome);
+    void end_silent_send(ServerSend&, Routing::AttemptOutcome, Routing::ServerOutcome);
     void drop_outdated_silent(Core::Time now);
 
-    void count_end(Routing::SendEnd);
-    void end_send(ServerSend&, Routing::SendEnd, Routing::ServerOutcome);
+    void count_end(Routing::AttemptOutcome);
+    void end_send(ServerSend&, Routing::AttemptOutcome, Routing::ServerOutcome);
     void leave_server(Routing::ServerOutcome, Core::Time now);
     bool is_at_server() const { return m_phase == Phase::Sent || m_phase == Phase::Asking; }
     Routing::RequestContent content() const;
     bool refuse_if_blamed();
     Routing::AttemptState attempt_state(Core::Time now) const;
-    void take_step(Routing::NextStep, Routing::SendEnd);
+    void take_step(Routing::NextStep, Routing::AttemptOutcome);
     void refuse_not_run();
     void send_again();
 
@@ -143,7 +143,7 @@
     std::optional<Core::Duration> m_server_retry_after;
     // When the caller first asked, as far as is known.
     Core::Time m_first_asked { 0 };
-    Routing::AnswerTerms m_terms;
+    Routing::AnswerDeadlines m_terms;
     Routing::PlaceWait m_wait;
     // Why the last try found no backend server.
     Routing::NoServer m_no_server { Routing::NoServer::NoneUsable };
--- a/Services/DirectEntry/RequestContext.h
+++ b/Services/DirectEntry/RequestContext.h
@@ -7,10 +7,10 @@
 #include <LibCore/Metrics.h>
 #include <LibPlatform/RequestHeads.h>
 #include <LibRouting/PlaceWait.h>
-#include <LibRouting/RetryShare.h>
 #include <LibRouting/ReturningCallers.h>
 #include <LibRouting/RouteTable.h>
 #include <LibRouting/ServerTable.h>
+#include <LibRouting/SharedRetryBudget.h>
 #include <functional>
 #include <map>
 #include <memory>
@@ -24,7 +24,7 @@
     Core::Metrics& metrics;
     Platform::RequestHeads const& heads;
     Routing::ServerTable& servers;
-    Routing::RetryShare& retries;
+    Routing::SharedRetryBudget& retries;
     CrashWatch& crashes;
     std::mt19937_64& random;
     Routing::WaitingPolicy waiting;
--- a/Services/DirectEntry/ServerSend.cpp
+++ b/Services/DirectEntry/ServerSend.cpp
@@ -10,13 +10,13 @@
     , m_sent_at(sent.at)
     , m_heard_at(sent.at)
 {
-    m_silence.on_heard(sent.running);
+    m_silence.on_received(sent.running);
 }
 
-void ServerSend::on_heard(Moment now)
+void ServerSend::on_received(Moment now)
 {
     m_heard_at = now.at;
-    m_silence.on_heard(now.running);
+    m_silence.on_received(now.running);
 }
 
 std::string ServerSend::incarnation() const
@@ -27,14 +27,14 @@
 void ServerSend::on_connected(Moment now)
 {
     m_is_connected = true;
-    on_heard(now);
+    on_received(now);
 }
 
 void ServerSend::on_head(Platform::BackendHead answer, Moment now)
 {
     m_has_head = true;
     m_answer = std::move(answer);
-    on_heard(now);
+    on_received(now);
 }
 
 }
--- a/Services/DirectEntry/ServerSend.h
+++ b/Services/DirectEntry/ServerSend.h
@@ -3,8 +3,8 @@
 
 #include <LibCore/Time.h>
 #include <LibPlatform/RequestHeads.h>
-#include <LibRouting/AnswerSilence.h>
-#include <LibRouting/EventStream.h>
+#include <LibRouting/EventStreamSplitter.h>
+#include <LibRouting/ReceiveTimeout.h>
 #include <LibTransport/BackendCall.h>
 #include <cstdint>
 #include <memory>
@@ -43,10 +43,10 @@
 
     Core::Time sent_at() const { return m_sent_at; }
     Core::Time heard_at() const { return m_heard_at; }
-    void on_heard(Moment);
+    void on_received(Moment);
     /// Looks once a turn of the loop whether the server has said nothing for `patience`.
-    bool look_for_silence(Core::Time running_now, Core::Duration patience) { return m_silence.look(running_now, patience); }
-    Core::Duration silent_for(Core::Time running_now) const { return m_silence.lasts(running_now); }
+    bool look_for_silence(Core::Time running_now, Core::Duration patience) { return m_silence.check_timeout(running_now, patience); }
+    Core::Duration silent_for(Core::Time running_now) const { return m_silence.elapsed(running_now); }
 
     bool is_connected() const { return m_is_connected; }
     void on_connected(Moment);
@@ -62,13 +62,13 @@
     /// What came of an answer that is passed on whole.
     std::string body;
     /// What came of an answer that is passed on event by event.
-    Routing::EventStream events;
+    Routing::EventStreamSplitter events;
 
 private:
     Target m_target;
     Core::Time m_sent_at;
     Core::Time m_heard_at;
-    Routing::AnswerSilence m_silence;
+    Routing::ReceiveTimeout m_silence;
     bool m_is_connected { false };
     bool m_has_head { false };
     bool m_has_event { false };
--- a/Services/DirectEntry/SuspectedRequest.cpp
+++ b/Services/DirectEntry/SuspectedRequest.cpp
@@ -5,7 +5,7 @@
 
 namespace DirectEntry {
 
-using Routing::CrashSend;
+using Routing::CrashRestriction;
 using Routing::CrashStanding;
 
 SuspectedRequest::SuspectedRequest(CrashWatch& watch, std::function<Routing::RequestContent()> content)
@@ -35,9 +35,9 @@
 {
     if (!has_suspects())
         return;
-    using Among = Routing::CrashSuspects::Among;
+    using RunFilter = Routing::CrashSuspects::RunFilter;
     auto const standing = this->standing();
-    auto const among = standing == CrashStanding::RunsAlone ? Among::AllRuns : Among::LoneRuns;
+    auto const among = standing == CrashStanding::RunsAlone ? RunFilter::AllRuns : RunFilter::AloneRuns;
     auto servers = m_watch.suspects().servers_with_suspects(among, Core::monotonic_now());
     (standing == CrashStanding::Clear ? needs.avoided : needs.closed) = std::move(servers);
     needs.wants_idle = standing == CrashStanding::RunsAlone;
@@ -45,19 +45,19 @@
 
 void SuspectedRequest::on_sent(std::string const& server)
 {
-    m_sent = has_suspects() ? m_watch.on_sent(digest(), server) : CrashSend::Free;
+    m_sent = has_suspects() ? m_watch.on_sent(digest(), server) : CrashRestriction::Free;
 }
 
-void SuspectedRequest::on_send_over()
+void SuspectedRequest::on_attempt_over()
 {
-    auto const sent = std::exchange(m_sent, CrashSend::Free);
-    if (sent != CrashSend::Free)
-        m_watch.on_send_over(digest(), sent);
+    auto const sent = std::exchange(m_sent, CrashRestriction::Free);
+    if (sent != CrashRestriction::Free)
+        m_watch.on_attempt_over(digest(), sent);
 }
 
 void SuspectedRequest::on_ended_under(std::string const& incarnation)
 {
-    m_watch.on_ended_under(incarnation, { digest(), m_sent == CrashSend::Alone });
+    m_watch.on_ended_under(incarnation, { digest(), m_sent == CrashRestriction::Alone });
 }
 
 void SuspectedRequest::on_ran_to_end()
--- a/Services/DirectEntry/SuspectedRequest.h
+++ b/Services/DirectEntry/SuspectedRequest.h
@@ -25,7 +25,7 @@
     void add_to(Routing::ServerNeeds&);
 
     void on_sent(std::string const& server);
-    void on_send_over();
+    void on_attempt_over();
     /// The server to which it was sent last ended while it ran the request.
     void on_ended_under(std::string const& incarnation);
     void on_ran_to_end();
@@ -36,7 +36,7 @@
     CrashWatch& m_watch;
     std::function<Routing::RequestContent()> m_content;
     std::optional<std::string> m_digest;
-    Routing::CrashSend m_sent { Routing::CrashSend::Free };
+    Routing::CrashRestriction m_sent { Routing::CrashRestriction::Free };
 };
 
 }
--- a/Services/DirectEntry/WeightsCache.cpp
+++ b/Services/DirectEntry/WeightsCache.cpp
@@ -11,7 +11,7 @@
 static constexpr Core::Duration turn_interval { 50 };
 // An entry that has just started would be the only one that it knows of, and read all from the origin: after a loss of power
 // entries so read 2.4 copies instead of one. Within this it is linked to the others.
-static constexpr Core::Duration acquaintance { 500 };
+static constexpr Core::Duration discovery_time { 500 };
 static constexpr size_t origin_fetches_in_flight = 2;
 // Few read from the origin, so that each chunk comes early and whole.
 static constexpr size_t seeders = 4;
@@ -47,7 +47,7 @@
 void WeightsCache::turn()
 {
     auto const now = Core::monotonic_now();
-    if (now - m_started_at < acquaintance)
+    if (now - m_started_at < discovery_time)
         return;
     for (auto& [model, copy] : m_copies) {
         copy.goal->take_next();
--- a/Services/Entry/CallerApi.cpp
+++ b/Services/Entry/CallerApi.cpp
@@ -80,7 +80,7 @@
         return;
     }
     auto const now = Core::monotonic_now();
-    m_demand.on_offered(request->dispatch.customer);
+    m_demand.on_request_offered(request->dispatch.customer);
     if (auto refusal = m_limits.start(request->dispatch.customer, now)) {
         if (refusal->reason == Schema::Reason::NoSuchCustomer && !m_is_configuration_confirmed())
             refuse_unconfigured(*exchange, refusal->reason);
@@ -378,7 +378,7 @@
             serve_queue(instance->service);
     } else if (message.demands) {
         for (auto const& said : message.demands->entries)
-            m_demand.on_heard(said.entry, said.customers, Core::monotonic_now());
+            m_demand.on_peer_demand(said.entry, said.customers, Core::monotonic_now());
     } else if (message.accepted) {
         if (auto* context = find_attempt(message.accepted->attempt))
             perform(*context, context->flow.on_accepted(message.accepted->attempt));
--- a/Services/Entry/CallerApi.h
+++ b/Services/Entry/CallerApi.h
@@ -49,7 +49,7 @@
     void stop_accepting() { m_is_stopping = true; }
     size_t in_flight() const { return m_contexts.size(); }
     /// What customers ask of this entry, for the agents that pass it on to the others.
-    std::vector<Schema::Demand> own_demand() const { return m_demand.own(); }
+    std::vector<Schema::Demand> own_demand() const { return m_demand.local_demand(); }
     size_t queued() const;
     Routing::InstanceTable const& table() const { return m_table; }
 
--- a/Services/Entry/Entry.cpp
+++ b/Services/Entry/Entry.cpp
@@ -53,8 +53,8 @@
     result.limits.max_body_bytes = static_cast<size_t>(settings.max_body_bytes.value_or(default_body_bytes));
     result.limits.default_deadline = Settings::duration_or(settings.default_deadline_ms, default_deadline);
     result.retry_ratio = settings.retry_ratio.value_or(default_retry_ratio);
-    result.flow.resume_wait = Settings::duration_or(settings.resume_ms, default_resume);
-    result.flow.accept_wait = Settings::duration_or(settings.accept_wait_ms, default_accept_wait);
+    result.flow.resume_timeout = Settings::duration_or(settings.resume_ms, default_resume);
+    result.flow.accept_timeout = Settings::duration_or(settings.accept_wait_ms, default_accept_wait);
     result.table.choice = settings.choice.value_or(Schema::Choice::Prefix);
     result.seed = Core::stable_hash(settings.identity, std::to_string(incarnation));
     return result;
--- a/Tests/LibRouting/TestAdmission.cpp
+++ b/Tests/LibRouting/TestAdmission.cpp
@@ -11,7 +11,7 @@
 protected:
     static constexpr Core::WallTime epoch { 1700000000000 };
     Membership::KeyHome home { "a", "s", {}, epoch };
-    OnceTable table { 1 << 20, Core::Duration(600000) };
+    IdempotencyTable table { 1 << 20, Core::Duration(600000) };
     AdmissionView view;
     std::mt19937_64 random { 1 };
     std::string key;
@@ -46,42 +46,42 @@
 
 }
 
-TEST_F(AdmissionTest, AKeyRunsOnceAndItsAnswerIsGivenAgain)
+TEST_F(AdmissionTest, AKeyRunsOnceAndItsStoredAnswerIsSentAgain)
 {
     EXPECT_TRUE(std::holds_alternative<Admit>(decide()));
     EXPECT_EQ(std::get<RefuseUnknown>(decide()).reason, Schema::Reason::KeyInProgress);
-    table.answered(key, { 200, {}, "done" });
+    table.record_answer(key, { 200, {}, "done" });
     // The stored answer is also sent while the agent drains and after its lease has expired.
     view.is_draining = true;
     view.now += Core::Duration(100000);
     EXPECT_EQ(std::get<Replay>(decide()).answer.body, "done");
 }
 
-TEST_F(AdmissionTest, AKeyWhoseOutcomeIsOpenNeverRunsAgain)
+TEST_F(AdmissionTest, AKeyWithUnknownOutcomeNeverRunsAgain)
 {
     decide();
     table.unknown(key);
     EXPECT_TRUE(std::holds_alternative<RefuseUnknown>(decide()));
 }
 
-TEST_F(AdmissionTest, AKeyWhoseRunNeverBeganMayRun)
+TEST_F(AdmissionTest, AKeyWhoseRequestWasNotSentMayRun)
 {
     decide();
-    table.forget(key);
+    table.remove(key);
     EXPECT_TRUE(std::holds_alternative<Admit>(decide()));
 }
 
-TEST_F(AdmissionTest, AnotherCustomerLearnsNothingThroughAKey)
+TEST_F(AdmissionTest, AKeyOfAnotherCustomerIsRefused)
 {
     decide();
-    table.answered(key, { 200, {}, "secret" });
+    table.record_answer(key, { 200, {}, "secret" });
     dispatch.customer = "other";
     EXPECT_EQ(refusal(decide()), Schema::Reason::KeyMalformed);
 }
 
-TEST_F(AdmissionTest, AFullRecordRefusesInsteadOfForgetting)
+TEST_F(AdmissionTest, AFullTableRefusesInsteadOfEvicting)
 {
-    OnceTable tiny(OnceTable::bytes_per_key, Core::Duration(600000));
+    IdempotencyTable tiny(IdempotencyTable::bytes_per_key, Core::Duration(600000));
     EXPECT_TRUE(std::holds_alternative<Admit>(admit(dispatch, view, home, tiny)));
     dispatch.key = Membership::make_key(view.wall_now, random);
     EXPECT_EQ(refusal(admit(dispatch, view, home, tiny)), Schema::Reason::RecordFull);
@@ -104,7 +104,7 @@
     EXPECT_EQ(refusal(decide()), Schema::Reason::VersionNotReady);
 }
 
-TEST_F(AdmissionTest, ADrainingOrFullAgentTakesNothingNew)
+TEST_F(AdmissionTest, ADrainingOrFullAgentRefusesNewRequests)
 {
     view.in_flight = 2;
     EXPECT_EQ(refusal(decide()), Schema::Reason::InstanceBusy);
@@ -113,13 +113,13 @@
     EXPECT_EQ(table.size(), 0u);
 }
 
-TEST_F(AdmissionTest, OutcomesAreKeptForTheirLifetimeAndThenMakeRoom)
+TEST_F(AdmissionTest, OutcomesAreKeptForTheirLifetimeAndThenRemoved)
 {
     decide();
-    table.answered(key, { 200, {}, "done" });
+    table.record_answer(key, { 200, {}, "done" });
     table.expire(view.now + Core::Duration(599999));
     EXPECT_EQ(table.size(), 1u);
     table.expire(view.now + Core::Duration(600000));
     EXPECT_EQ(table.size(), 0u);
-    EXPECT_EQ(table.bytes(), 0u);
+    EXPECT_EQ(table.estimated_bytes(), 0u);
 }
--- a/Tests/LibRouting/TestAnswers.cpp
+++ b/Tests/LibRouting/TestAnswers.cpp
@@ -17,7 +17,7 @@
     return parts;
 }
 
-RC_GTEST_PROP(AnswerAssembly, LateRepeatedAndDisorderedPartsMakeTheWholeAnswer, (uint64_t seed))
+RC_GTEST_PROP(AnswerAssembly, DelayedDuplicateAndReorderedPartsGiveTheWholeAnswer, (uint64_t seed))
 {
     auto parts = parts_of(*rc::gen::inRange<size_t>(1, 80));
     std::string expected;
@@ -31,7 +31,7 @@
     AnswerAssembly assembly;
     std::string received;
     for (auto const& part : sent) {
-        RC_ASSERT(assembly.add(part) != AnswerAssembly::PartResult::Impossible);
+        RC_ASSERT(assembly.add(part) != AnswerAssembly::PartResult::Invalid);
         for (auto const& ready : assembly.take_ready())
             received += ready.data;
         RC_ASSERT(expected.starts_with(received));
@@ -40,7 +40,7 @@
     RC_ASSERT(received == expected);
 }
 
-RC_GTEST_PROP(AnswerAssembly, AnAnswerThatLacksAPartIsNeverWhole, ())
+RC_GTEST_PROP(AnswerAssembly, AnAnswerWithAMissingPartIsNeverWhole, ())
 {
     auto parts = parts_of(*rc::gen::inRange<size_t>(1, 40));
     parts.erase(parts.begin() + static_cast<ptrdiff_t>(*rc::gen::inRange<size_t>(0, parts.size())));
@@ -51,20 +51,20 @@
     RC_ASSERT(!assembly.is_whole());
 }
 
-TEST(AnswerAssembly, PartsBehindTheLastOrFarAheadAreImpossible)
+TEST(AnswerAssembly, PartsAfterTheLastOrBeyondTheWindowAreInvalid)
 {
     AnswerAssembly assembly;
     auto parts = parts_of(2);
     assembly.add(parts[1]);
     Schema::Part behind {};
     behind.sequence = 2;
-    EXPECT_EQ(assembly.add(behind), AnswerAssembly::PartResult::Impossible);
+    EXPECT_EQ(assembly.add(behind), AnswerAssembly::PartResult::Invalid);
     Schema::Part far {};
-    far.sequence = AnswerAssembly::window + 1;
-    EXPECT_EQ(AnswerAssembly().add(far), AnswerAssembly::PartResult::Impossible);
+    far.sequence = AnswerAssembly::max_parts_ahead + 1;
+    EXPECT_EQ(AnswerAssembly().add(far), AnswerAssembly::PartResult::Invalid);
 }
 
-RC_GTEST_PROP(AnswerBuffer, AnAnswerGoesOnWhereItStoppedWhereverTheLinkBreaks, (uint64_t seed))
+RC_GTEST_PROP(AnswerBuffer, AnAnswerResumesWhereItStoppedWhereverTheLinkIsLost, (uint64_t seed))
 {
     std::mt19937_64 random(seed);
     AnswerBuffer buffer("a");
@@ -92,11 +92,11 @@
             buffer.acknowledge(assembly.next_sequence());
         if (breaks || made == count) {
             RC_ASSERT(buffer.can_resume_from(assembly.next_sequence()));
-            on_the_wire = buffer.since(assembly.next_sequence());
+            on_the_wire = buffer.parts_from(assembly.next_sequence());
         }
     }
     RC_ASSERT(received == expected);
     buffer.acknowledge(assembly.next_sequence());
     RC_ASSERT(buffer.is_acknowledged());
-    RC_ASSERT(buffer.kept_bytes() == 0u);
+    RC_ASSERT(buffer.unacknowledged_bytes() == 0u);
 }
--- a/Tests/LibRouting/TestCrashSuspects.cpp
+++ b/Tests/LibRouting/TestCrashSuspects.cpp
@@ -12,7 +12,7 @@
 
 class CrashSuspectsTest : public testing::Test {
 protected:
-    std::vector<std::string> end(std::string const& server, std::vector<CrashSuspects::Run> const& runs) { return m_suspects.on_server_ended(server, runs, m_now); }
+    std::vector<std::string> end(std::string const& server, std::vector<CrashSuspects::Run> const& runs) { return m_suspects.on_server_terminated(server, runs, m_now); }
 
     void blame(std::string const& digest)
     {
@@ -27,7 +27,7 @@
     Core::Time m_now { 1000 };
 };
 
-TEST_F(CrashSuspectsTest, AllThatAServerRanWhenItEndedIsSuspectedUntilItRunsToItsEnd)
+TEST_F(CrashSuspectsTest, AllRequestsOnATerminatedServerAreSuspectedUntilTheyComplete)
 {
     end("1", { { "a" }, { "b" } });
     EXPECT_EQ(standing("a"), CrashStanding::Suspected);
@@ -38,7 +38,7 @@
     EXPECT_FALSE(m_suspects.clear("a"));
 }
 
-TEST_F(CrashSuspectsTest, TheEndOfAServerThatRanItByItselfIsWhatBlames)
+TEST_F(CrashSuspectsTest, OnlyATerminationWhileRunningAloneBlames)
 {
     end("1", { { "a" } });
     end("2", { { "a" } });
@@ -48,7 +48,7 @@
     EXPECT_EQ(m_suspects.blamed_count(), 1u);
 }
 
-TEST_F(CrashSuspectsTest, ServersThatEndTogetherBlameNobody)
+TEST_F(CrashSuspectsTest, ServersThatTerminateTogetherBlameNoRequest)
 {
     for (auto const* server : { "1", "2", "3", "4", "5" })
         EXPECT_TRUE(end(server, { { "often asked for" } }).empty());
@@ -57,7 +57,7 @@
 
 // Guards against a crashing request that is never blamed: many copies that ran at the same time had filled its record of
 // terminations before one of them ran alone.
-TEST_F(CrashSuspectsTest, TheEndOfAServerThatRanItByItselfBlamesHoweverManyEndedBefore)
+TEST_F(CrashSuspectsTest, ATerminationWhileRunningAloneBlamesAfterAnyNumberOfOthers)
 {
     for (int i = 0; i < 20; ++i)
         EXPECT_TRUE(end(std::to_string(i), { { "a" } }).empty());
@@ -65,25 +65,25 @@
     EXPECT_EQ(standing("a"), CrashStanding::Blamed);
 }
 
-TEST_F(CrashSuspectsTest, AnEntryThatKnowsManyEndsTakesAnothersWordForOneByItself)
+TEST_F(CrashSuspectsTest, AnAnnouncedTerminationWhileRunningAloneBlamesAlsoWithAFullRecord)
 {
     for (int i = 0; i < 20; ++i)
         end(std::to_string(i), { { "a" } });
-    Schema::CrashSuspect told {};
-    told.digest = "a";
-    told.ends.push_back({ .alone = true, .server = "20" });
-    EXPECT_EQ(m_suspects.merge(told, m_now), std::vector<std::string> { "a" });
+    Schema::CrashSuspect announced {};
+    announced.digest = "a";
+    announced.ends.push_back({ .alone = true, .server = "20" });
+    EXPECT_EQ(m_suspects.merge(announced, m_now), std::vector<std::string> { "a" });
     EXPECT_EQ(standing("a"), CrashStanding::Blamed);
 }
 
-TEST_F(CrashSuspectsTest, OneEndCountsOnceHoweverManyTellOfIt)
+TEST_F(CrashSuspectsTest, OneTerminationCountsOnceHoweverOftenItIsReported)
 {
     for (int i = 0; i < 5; ++i)
         end("1", { { "a" } });
     EXPECT_EQ(standing("a"), CrashStanding::Suspected);
 }
 
-TEST_F(CrashSuspectsTest, WhatOneIsToBlameForIsTakenFromTheOthers)
+TEST_F(CrashSuspectsTest, TerminationsOfABlamedRequestDoNotCountAgainstOthers)
 {
     end("1", { { "guilty" }, { "a" } });
     end("2", { { "guilty" }, { "a" }, { "b" } });
@@ -95,7 +95,7 @@
     EXPECT_EQ(standing("guilty"), CrashStanding::Blamed);
 }
 
-TEST_F(CrashSuspectsTest, AWrongBlameEndsWhenOthersExplainIt)
+TEST_F(CrashSuspectsTest, AWrongBlameEndsWhenItsTerminationsAreAttributedToOthers)
 {
     end("1", { { "harmless" }, { "guilty" } });
     end("2", { { "harmless" } });
@@ -115,7 +115,7 @@
     EXPECT_EQ(standing("harmless"), CrashStanding::Clear);
 }
 
-TEST_F(CrashSuspectsTest, ABlamedRequestIsTriedByItselfWhenTheBlameIsOver)
+TEST_F(CrashSuspectsTest, ABlamedRequestRunsAloneWhenTheBlameHasExpired)
 {
     blame("a");
     m_now += hour;
@@ -127,19 +127,19 @@
     EXPECT_EQ(standing("a"), CrashStanding::RunsAlone);
 }
 
-TEST_F(CrashSuspectsTest, OneCopyOfASuspectGoesOutAtATime)
+TEST_F(CrashSuspectsTest, OneCopyOfASuspectIsSentAtATime)
 {
-    EXPECT_EQ(m_suspects.on_sent("a", "s1", m_now), CrashSend::Free);
+    EXPECT_EQ(m_suspects.on_sent("a", "s1", m_now), CrashRestriction::Free);
     end("1", { { "a" } });
     EXPECT_TRUE(m_suspects.may_send("a", m_now));
-    EXPECT_EQ(m_suspects.on_sent("a", "s2", m_now), CrashSend::Suspect);
+    EXPECT_EQ(m_suspects.on_sent("a", "s2", m_now), CrashRestriction::Suspect);
     EXPECT_FALSE(m_suspects.may_send("a", m_now));
-    EXPECT_TRUE(m_suspects.servers_with_suspects(CrashSuspects::Among::LoneRuns, m_now).empty());
-    m_suspects.on_send_over("a");
+    EXPECT_TRUE(m_suspects.servers_with_suspects(CrashSuspects::RunFilter::AloneRuns, m_now).empty());
+    m_suspects.on_attempt_over("a");
     EXPECT_TRUE(m_suspects.may_send("a", m_now));
 }
 
-TEST_F(CrashSuspectsTest, ASuspectOfTwoEndsRunsOnceInTheWholeFleet)
+TEST_F(CrashSuspectsTest, ASuspectOfTwoTerminationsRunsOnceInTheWholeFleet)
 {
     end("1", { { "a" } });
     end("2", { { "a" } });
@@ -149,7 +149,7 @@
     run.server = "s3";
     m_suspects.on_peer_run("entry", run, m_now);
     EXPECT_FALSE(m_suspects.may_send("a", m_now));
-    EXPECT_EQ(m_suspects.servers_with_suspects(CrashSuspects::Among::LoneRuns, m_now), std::set<std::string> { "s3" });
+    EXPECT_EQ(m_suspects.servers_with_suspects(CrashSuspects::RunFilter::AloneRuns, m_now), std::set<std::string> { "s3" });
     run.is_over = true;
     m_suspects.on_peer_run("entry", run, m_now);
     EXPECT_TRUE(m_suspects.may_send("a", m_now));
@@ -157,24 +157,24 @@
     m_suspects.on_peer_run("entry", run, m_now);
     m_suspects.on_peer_gone("entry");
     EXPECT_TRUE(m_suspects.may_send("a", m_now));
-    EXPECT_EQ(m_suspects.on_sent("a", "s4", m_now), CrashSend::Alone);
-    EXPECT_EQ(m_suspects.servers_with_suspects(CrashSuspects::Among::LoneRuns, m_now), std::set<std::string> { "s4" });
+    EXPECT_EQ(m_suspects.on_sent("a", "s4", m_now), CrashRestriction::Alone);
+    EXPECT_EQ(m_suspects.servers_with_suspects(CrashSuspects::RunFilter::AloneRuns, m_now), std::set<std::string> { "s4" });
 }
 
-TEST_F(CrashSuspectsTest, SingleEndsAreForgottenSoonAndTheRestWithinADay)
+TEST_F(CrashSuspectsTest, SingleTerminationsExpireSoonAndTheRestWithinADay)
 {
     end("1", { { "a" } });
     blame("b");
     m_now += std::chrono::minutes(11);
-    m_suspects.forget_old(m_now);
+    m_suspects.remove_expired(m_now);
     EXPECT_EQ(m_suspects.find("a"), nullptr);
     EXPECT_NE(m_suspects.find("b"), nullptr);
     m_now += 25 * hour;
-    m_suspects.forget_old(m_now);
+    m_suspects.remove_expired(m_now);
     EXPECT_TRUE(m_suspects.is_empty());
 }
 
-TEST_F(CrashSuspectsTest, TheBlamedAreKeptWhenThereIsNoRoomForAllSuspects)
+TEST_F(CrashSuspectsTest, BlamedRequestsAreKeptWhenSuspectsAreEvicted)
 {
     blame("blamed");
     for (int i = 0; i < 10000; ++i)
@@ -184,19 +184,19 @@
     EXPECT_EQ(standing("suspect 9999"), CrashStanding::Suspected);
 }
 
-TEST_F(CrashSuspectsTest, AToldBlameHoldsForAsLongAsItDidThere)
+TEST_F(CrashSuspectsTest, AnAnnouncedBlameExpiresWhenTheOriginalDoes)
 {
     blame("a");
     m_now += std::chrono::minutes(50);
     CrashSuspects other;
-    Core::Time const theirs { 5'000'000'000 };
-    EXPECT_EQ(other.merge(m_suspects.to_tell("a", m_now), theirs), std::vector<std::string> { "a" });
-    EXPECT_EQ(other.standing("a", theirs), CrashStanding::Blamed);
-    EXPECT_EQ(other.standing("a", theirs + std::chrono::minutes(11)), CrashStanding::RunsAlone);
-    EXPECT_TRUE(other.merge(m_suspects.to_tell("a", m_now), theirs).empty());
+    Core::Time const other_now { 5'000'000'000 };
+    EXPECT_EQ(other.merge(m_suspects.to_announce("a", m_now), other_now), std::vector<std::string> { "a" });
+    EXPECT_EQ(other.standing("a", other_now), CrashStanding::Blamed);
+    EXPECT_EQ(other.standing("a", other_now + std::chrono::minutes(11)), CrashStanding::RunsAlone);
+    EXPECT_TRUE(other.merge(m_suspects.to_announce("a", m_now), other_now).empty());
 }
 
-TEST(RequestDigest, PartsAreToldApart)
+TEST(RequestDigest, PartsAreDistinguished)
 {
     RequestContent const content { "POST", "host", "/path?query", "customer", "body" };
     auto const digest = request_digest(content);
@@ -209,18 +209,18 @@
 }
 
 // Two entries that announce every termination to each other blame the same requests, whichever entry detected it.
-RC_GTEST_PROP(CrashSuspectsProperty, EntriesThatHearOfAllEndsJudgeAlike, ())
+RC_GTEST_PROP(CrashSuspectsProperty, EntriesThatReceiveAllTerminationsBlameTheSameRequests, ())
 {
     CrashSuspects first;
     CrashSuspects second;
     Core::Time now { 1000 };
     auto const ends = *rc::gen::inRange(1, 40);
     for (int i = 0; i < ends; ++i) {
-        auto& meets = *rc::gen::arbitrary<bool>() ? first : second;
-        auto& hears = &meets == &first ? second : first;
+        auto& detector = *rc::gen::arbitrary<bool>() ? first : second;
+        auto& receiver = &detector == &first ? second : first;
         CrashSuspects::Run const run { std::string(1, static_cast<char>('a' + *rc::gen::inRange(0, 6))), *rc::gen::arbitrary<bool>() };
-        meets.on_server_ended(std::to_string(*rc::gen::inRange(0, 12)), { run }, now);
-        hears.merge(meets.to_tell(run.digest, now), now);
+        detector.on_server_terminated(std::to_string(*rc::gen::inRange(0, 12)), { run }, now);
+        receiver.merge(detector.to_announce(run.digest, now), now);
         now += Core::Duration(10);
         for (char digest = 'a'; digest < 'g'; ++digest) {
             std::string const name(1, digest);
@@ -249,14 +249,14 @@
             run(i);
         for (int i = 0; i < m_guilty; ++i) {
             auto const digest = "guilty " + std::to_string(i);
-            if (!m_in_hand.contains(digest) && m_now >= m_comes_again[digest])
-                ask({ .digest = digest, .left = 4 });
+            if (!m_in_flight.contains(digest) && m_now >= m_retries_at[digest])
+                request({ .digest = digest, .left = 4 });
         }
         for (int i = 0; i < 4; ++i)
-            ask({ .digest = "harmless " + std::to_string(m_count++), .left = 60 });
+            request({ .digest = "harmless " + std::to_string(m_count++), .left = 60 });
     }
 
-    int ends_of(int guilty) const { return m_ends.contains(guilty) ? m_ends.at(guilty) : 0; }
+    int terminations_caused_by(int guilty) const { return m_terminations.contains(guilty) ? m_terminations.at(guilty) : 0; }
     /// Number of harmless streams that were ever blamed; harmless_refused() counts those that still are.
     int harmless_blamed() const { return m_harmless_blamed; }
     int harmless_refused() const
@@ -269,7 +269,7 @@
     struct Stream {
         std::string digest;
         int left { 0 };
-        CrashSend sent { CrashSend::Free };
+        CrashRestriction sent { CrashRestriction::Free };
         bool is_guilty() const { return digest.starts_with("guilty"); }
     };
 
@@ -288,38 +288,38 @@
         }
         for (auto& stream : engine.streams)
             stream.left -= 1;
-        auto const ender = std::find_if(engine.streams.begin(), engine.streams.end(), [](auto const& stream) { return stream.is_guilty() && stream.left <= 0; });
-        if (ender != engine.streams.end()) {
-            m_ends[std::stoi(ender->digest.substr(7))] += 1;
+        auto const crashing_stream = std::find_if(engine.streams.begin(), engine.streams.end(), [](auto const& stream) { return stream.is_guilty() && stream.left <= 0; });
+        if (crashing_stream != engine.streams.end()) {
+            m_terminations[std::stoi(crashing_stream->digest.substr(7))] += 1;
             end(number);
             return;
         }
         for (auto const& stream : engine.streams) {
             if (stream.left <= 0)
-                leave(stream, true);
+                on_attempt_ended(stream, true);
         }
         std::erase_if(engine.streams, [](auto const& stream) { return stream.left <= 0; });
     }
 
-    void ask(Stream const& stream)
+    void request(Stream const& stream)
     {
         if (send(stream))
-            m_in_hand.insert(stream.digest);
+            m_in_flight.insert(stream.digest);
         else
-            be_refused(stream);
+            on_refused(stream);
     }
 
     /// The caller retries 100 to 800 ms later.
-    void be_refused(Stream const& stream)
+    void on_refused(Stream const& stream)
     {
-        m_in_hand.erase(stream.digest);
-        m_comes_again[stream.digest] = m_now + Core::Duration(100 + m_random() % 700);
+        m_in_flight.erase(stream.digest);
+        m_retries_at[stream.digest] = m_now + Core::Duration(100 + m_random() % 700);
     }
 
-    void leave(Stream const& stream, bool ran_to_end)
+    void on_attempt_ended(Stream const& stream, bool ran_to_end)
     {
-        if (stream.sent != CrashSend::Free)
-            m_suspects.on_send_over(stream.digest);
+        if (stream.sent != CrashRestriction::Free)
+            m_suspects.on_attempt_over(stream.digest);
         if (ran_to_end)
             m_suspects.clear(stream.digest);
     }
@@ -332,16 +332,16 @@
         std::vector<CrashSuspects::Run> runs;
         runs.reserve(streams.size());
         for (auto const& stream : streams)
-            runs.push_back({ stream.digest, stream.sent == CrashSend::Alone });
-        for (auto const& digest : m_suspects.on_server_ended(std::to_string(number) + "@" + std::to_string(engine.start++), runs, m_now))
+            runs.push_back({ stream.digest, stream.sent == CrashRestriction::Alone });
+        for (auto const& digest : m_suspects.on_server_terminated(std::to_string(number) + "@" + std::to_string(engine.start++), runs, m_now))
             m_harmless_blamed += digest.starts_with("harmless") ? 1 : 0;
         for (auto const& stream : streams)
-            leave(stream, false);
+            on_attempt_ended(stream, false);
         for (auto stream : streams) {
             // A stream resumes on another engine, for its remaining steps.
             stream.left = stream.is_guilty() ? 4 : std::max(stream.left, 2);
             if (!send(stream))
-                be_refused(stream);
+                on_refused(stream);
         }
     }
 
@@ -350,7 +350,7 @@
         if (!m_suspects.may_send(stream.digest, m_now))
             return false;
         auto const standing = m_suspects.standing(stream.digest, m_now);
-        auto const among = standing == CrashStanding::RunsAlone ? CrashSuspects::Among::AllRuns : CrashSuspects::Among::LoneRuns;
+        auto const among = standing == CrashStanding::RunsAlone ? CrashSuspects::RunFilter::AllRuns : CrashSuspects::RunFilter::AloneRuns;
         auto const closed = m_suspects.servers_with_suspects(among, m_now);
         bool const is_suspect = standing != CrashStanding::Clear;
         std::vector<size_t> open;
@@ -372,9 +372,9 @@
     CrashSuspects m_suspects;
     Core::Time m_now { 1000 };
     int m_count { 0 };
-    std::set<std::string> m_in_hand;
-    std::map<std::string, Core::Time> m_comes_again;
-    std::map<int, int> m_ends;
+    std::set<std::string> m_in_flight;
+    std::map<std::string, Core::Time> m_retries_at;
+    std::map<int, int> m_terminations;
     int m_harmless_blamed { 0 };
 };
 
@@ -382,7 +382,7 @@
 
 // The worst required case, and its limits on terminated engines (5 for one crashing request, 12 for several): several crashing requests
 // at once, on engines that each run many other requests.
-RC_GTEST_PROP(CrashSuspectsProperty, CrashingRequestsAreStoppedSoonAndNoHarmlessOneIsBlamed, ())
+RC_GTEST_PROP(CrashSuspectsProperty, CrashingRequestsAreStoppedWithinTheLimitAndNoHarmlessOneStaysBlamed, ())
 {
     auto const guilty = *rc::gen::inRange(1, 4);
     Fleet fleet(*rc::gen::inRange(8, 20), guilty, *rc::gen::arbitrary<uint64_t>());
@@ -390,7 +390,7 @@
         fleet.step();
     int ends = 0;
     for (int i = 0; i < guilty; ++i)
-        ends += fleet.ends_of(i);
+        ends += fleet.terminations_caused_by(i);
     RC_ASSERT(ends <= (guilty == 1 ? 5 : 12));
     RC_ASSERT(fleet.harmless_refused() == 0);
 }
--- a/Tests/LibRouting/TestDirectRouting.cpp
+++ b/Tests/LibRouting/TestDirectRouting.cpp
@@ -1,8 +1,8 @@
 // SPDX-License-Identifier: BSD-2-Clause
 #include <LibRouting/AttemptPolicy.h>
-#include <LibRouting/EventStream.h>
-#include <LibRouting/RetryShare.h>
+#include <LibRouting/EventStreamSplitter.h>
 #include <LibRouting/RouteTable.h>
+#include <LibRouting/SharedRetryBudget.h>
 #include <algorithm>
 #include <gtest/gtest.h>
 #include <rapidcheck/gtest.h>
@@ -102,14 +102,14 @@
     EXPECT_EQ(table.customer_of("k3"), nullptr);
 }
 
-RC_GTEST_PROP(EventStream, WhereverTheBytesAreCutTheSameEventsComeOut, ())
+RC_GTEST_PROP(EventStreamSplitter, EventsDoNotDependOnWhereTheBytesAreSplit, ())
 {
     static std::vector<std::string> const events { "id: 1\ndata: a\n\n", "id: 2\r\ndata: b\r\n\r\n", ": note\n\n", "id: 3\ndata: c\ndata: d\n\n" };
     std::string bytes;
     for (auto const& event : events)
         bytes += event;
     bytes += "id: 4\ndata: cut";
-    EventStream stream;
+    EventStreamSplitter stream;
     std::vector<std::string> seen;
     for (size_t begin = 0; begin < bytes.size();) {
         auto const size = *rc::gen::inRange<size_t>(1, 12);
@@ -128,68 +128,68 @@
     state.is_resumable = *rc::gen::arbitrary<bool>();
     state.may_have_run = *rc::gen::arbitrary<bool>();
     state.has_delivered = state.kind == Schema::RouteKind::Stream && *rc::gen::arbitrary<bool>();
-    state.sends = *rc::gen::inRange<int64_t>(0, 5);
+    state.attempts = *rc::gen::inRange<int64_t>(0, 5);
     state.max_attempts = *rc::gen::inRange<int64_t>(1, 4);
-    state.misses = *rc::gen::inRange<int64_t>(0, 6);
-    state.ended_servers = *rc::gen::inRange<int64_t>(0, 6);
+    state.attempts_not_run = *rc::gen::inRange<int64_t>(0, 6);
+    state.terminated_servers = *rc::gen::inRange<int64_t>(0, 6);
     state.has_budget = *rc::gen::arbitrary<bool>();
     state.remaining = Core::Duration(*rc::gen::inRange(-100, 5000));
     return state;
 }
 
-static SendEnd any_end()
+static AttemptOutcome any_outcome()
 {
-    return *rc::gen::element(SendEnd::NotConnected, SendEnd::NotRun, SendEnd::ServerFailure, SendEnd::BrokenOff, SendEnd::ServerEnded, SendEnd::Silent, SendEnd::Outdated);
+    return *rc::gen::element(AttemptOutcome::NotConnected, AttemptOutcome::NotRun, AttemptOutcome::ServerFailure, AttemptOutcome::BrokenOff, AttemptOutcome::ServerTerminated, AttemptOutcome::Silent, AttemptOutcome::Outdated);
 }
 
-static bool may_have_run_now(SendEnd end, AttemptState const& state)
+static bool may_have_run_now(AttemptOutcome end, AttemptState const& state)
 {
-    return state.may_have_run || (end != SendEnd::NotConnected && end != SendEnd::NotRun);
+    return state.may_have_run || (end != AttemptOutcome::NotConnected && end != AttemptOutcome::NotRun);
 }
 
-RC_GTEST_PROP(AttemptPolicy, WhatMayHaveRunAndMustNotRepeatIsNeverSentAgain, ())
+RC_GTEST_PROP(AttemptPolicy, ANonRepeatableRequestThatMayHaveRunIsNeverSentAgain, ())
 {
     auto const state = any_state();
-    auto const end = any_end();
+    auto const end = any_outcome();
     RC_PRE(!is_repeatable(state) && may_have_run_now(end, state));
     auto const step = next_step(end, state);
-    RC_ASSERT(step != NextStep::SendAgain && step != NextStep::Resume);
+    RC_ASSERT(step != NextStep::RetryFromStart && step != NextStep::Resume);
 }
 
-RC_GTEST_PROP(AttemptPolicy, NotRunIsSaidOnlyIfNoSendMayHaveRun, ())
+RC_GTEST_PROP(AttemptPolicy, NotRunIsAnsweredOnlyIfNoAttemptMayHaveRun, ())
 {
     auto const state = any_state();
-    auto const end = any_end();
+    auto const end = any_outcome();
     RC_PRE(may_have_run_now(end, state));
     RC_ASSERT(next_step(end, state) != NextStep::RefuseNotRun);
 }
 
-RC_GTEST_PROP(AttemptPolicy, AnAnswerThatHasBegunGoesOnOrIsBrokenOff, ())
+RC_GTEST_PROP(AttemptPolicy, AnAnswerThatHasBegunResumesOrIsAborted, ())
 {
     auto state = any_state();
     state.kind = Schema::RouteKind::Stream;
     state.has_delivered = true;
-    auto const step = next_step(any_end(), state);
+    auto const step = next_step(any_outcome(), state);
     RC_ASSERT(step == NextStep::Resume || step == NextStep::BreakOff);
 }
 
 RC_GTEST_PROP(AttemptPolicy, NeitherBudgetNorAttemptsNorTimeAreOverspent, ())
 {
     auto state = any_state();
-    auto const end = any_end();
+    auto const end = any_outcome();
     auto const step = next_step(end, state);
-    RC_PRE(step == NextStep::SendAgain || step == NextStep::Resume);
+    RC_PRE(step == NextStep::RetryFromStart || step == NextStep::Resume);
     RC_ASSERT(state.has_budget);
     RC_ASSERT(state.remaining.count() > 0);
-    RC_ASSERT(end == SendEnd::NotConnected || end == SendEnd::NotRun || state.sends < state.max_attempts);
-    RC_ASSERT(end == SendEnd::NotConnected || end == SendEnd::NotRun || state.ended_servers <= 3);
+    RC_ASSERT(end == AttemptOutcome::NotConnected || end == AttemptOutcome::NotRun || state.attempts < state.max_attempts);
+    RC_ASSERT(end == AttemptOutcome::NotConnected || end == AttemptOutcome::NotRun || state.terminated_servers <= 3);
 }
 
-RC_GTEST_PROP(RetryShare, AllEntriesTogetherStayWithinTheBoundInEveryWindow, ())
+RC_GTEST_PROP(SharedRetryBudget, AllEntriesTogetherStayWithinTheLimitInEveryWindow, ())
 {
-    RetryBound const bound { .ratio = 0.2, .window = Core::Duration(10000), .slack = 50 };
+    RetryLimit const bound { .ratio = 0.2, .window = Core::Duration(10000), .slack = 50 };
     auto const entries = *rc::gen::inRange<size_t>(1, 6);
-    std::vector<RetryShare> shares;
+    std::vector<SharedRetryBudget> shares;
     for (size_t i = 0; i < entries; ++i) {
         shares.emplace_back(bound, Core::Time(0));
         shares.back().set_entries(entries);
@@ -214,21 +214,21 @@
     }
 }
 
-TEST(RetryShare, ServicesDoNotSpendEachOthersShare)
+TEST(SharedRetryBudget, ServicesHaveSeparateShares)
 {
-    RetryShare share({ .ratio = 0, .window = Core::Duration(10000), .slack = 10 }, Core::Time(0));
+    SharedRetryBudget share({ .ratio = 0, .window = Core::Duration(10000), .slack = 10 }, Core::Time(0));
     while (share.try_spend("a", Core::Time(0))) { }
-    EXPECT_FALSE(share.has_left("a", Core::Time(0)));
-    EXPECT_TRUE(share.has_left("b", Core::Time(0)));
-    EXPECT_TRUE(share.has_left("a", Core::Time(20000)));
+    EXPECT_FALSE(share.has_remaining("a", Core::Time(0)));
+    EXPECT_TRUE(share.has_remaining("b", Core::Time(0)));
+    EXPECT_TRUE(share.has_remaining("a", Core::Time(20000)));
 }
 
-TEST(RetryShare, ARestartOfAllEntriesWhileRetriesAreSpentStaysWithinTheBound)
+TEST(SharedRetryBudget, ARestartOfAllEntriesDuringRetriesStaysWithinTheLimit)
 {
     static constexpr size_t entries = 5;
     static constexpr int64_t window = 10000;
-    RetryBound const bound { .ratio = 0.2, .window = Core::Duration(window), .slack = 106 };
-    std::vector<RetryShare> shares;
+    RetryLimit const bound { .ratio = 0.2, .window = Core::Duration(window), .slack = 106 };
+    std::vector<SharedRetryBudget> shares;
     auto const start_all = [&](int64_t now) {
         shares.clear();
         for (size_t i = 0; i < entries; ++i) {
--- a/Tests/LibRouting/TestLimits.cpp
+++ b/Tests/LibRouting/TestLimits.cpp
@@ -18,7 +18,7 @@
     return spec;
 }
 
-RC_GTEST_PROP(CustomerLimits, NoMorePassThanRateBurstAndConcurrencyAllow, (uint64_t seed))
+RC_GTEST_PROP(CustomerLimits, NoMoreRequestsAreAdmittedThanRateBurstAndConcurrencyAllow, (uint64_t seed))
 {
     std::mt19937_64 random(seed);
     CustomerLimits customers;
@@ -53,7 +53,7 @@
     EXPECT_EQ(customers.start("anybody", Core::Time(0))->reason, Schema::Reason::NoSuchCustomer);
 }
 
-RC_GTEST_PROP(RetryBudget, RetriesStayAShareOfRequests, (uint64_t seed))
+RC_GTEST_PROP(RetryBudget, RetriesStayWithinTheRatioOfRequests, (uint64_t seed))
 {
     std::mt19937_64 random(seed);
     RetryBudget budget(0.1);
@@ -63,10 +63,10 @@
         if (random() % 3 != 0) {
             budget.on_request();
             requests += 1;
-        } else if (budget.take()) {
+        } else if (budget.try_acquire()) {
             retries += 1;
         }
-        RC_ASSERT(retries <= RetryBudget::most_saved + 0.1 * requests + 1e-6);
+        RC_ASSERT(retries <= RetryBudget::max_saved_retries + 0.1 * requests + 1e-6);
     }
 }
 
@@ -79,7 +79,7 @@
     }
 }
 
-TEST(RequestQueue, ACustomerWithManyWaitsBehindItself)
+TEST(RequestQueue, ACustomerWithManyRequestsDoesNotDelayOthers)
 {
     RequestQueue queue(100);
     for (uint64_t i = 0; i < 10; ++i)
@@ -145,7 +145,7 @@
     }
 }
 
-RC_GTEST_PROP(DemandShares, SharesOfEntriesThatHearEachOtherNeverExceedTheWhole, (uint64_t seed))
+RC_GTEST_PROP(DemandShares, SharesOfEntriesThatReceiveAllDemandsAddUpToOne, (uint64_t seed))
 {
     std::mt19937_64 random(seed);
     auto const entries = *rc::gen::inRange<size_t>(1, 8);
@@ -153,7 +153,7 @@
     for (int second = 0; second < 20; ++second) {
         for (auto& entry : shares) {
             for (auto count = random() % 50; count > 0; --count)
-                entry.on_offered("c");
+                entry.on_request_offered("c");
             entry.end_interval();
         }
     }
@@ -162,7 +162,7 @@
         for (size_t j = 0; j < entries; ++j) {
             // Some announcements are lost.
             if (i != j && random() % 4 != 0)
-                shares[i].on_heard("e" + std::to_string(j), shares[j].own(), now);
+                shares[i].on_peer_demand("e" + std::to_string(j), shares[j].local_demand(), now);
         }
     }
     double least = 1;
@@ -172,7 +172,7 @@
     for (size_t i = 0; i < entries; ++i) {
         for (size_t j = 0; j < entries; ++j) {
             if (i != j)
-                shares[i].on_heard("e" + std::to_string(j), shares[j].own(), now);
+                shares[i].on_peer_demand("e" + std::to_string(j), shares[j].local_demand(), now);
         }
     }
     double sum = 0;
@@ -181,16 +181,16 @@
     RC_ASSERT(std::abs(sum - 1) < 1e-6);
 }
 
-TEST(DemandShares, AnEntryWithAllTheDemandGetsMostOfTheLimitAndOldWordsCountForNothing)
+TEST(DemandShares, AnEntryWithAllTheDemandGetsMostOfTheLimitAndOldDemandsExpire)
 {
     DemandShares busy;
     for (int second = 0; second < 20; ++second) {
         for (int i = 0; i < 98; ++i)
-            busy.on_offered("c");
+            busy.on_request_offered("c");
         busy.end_interval();
     }
     EXPECT_DOUBLE_EQ(busy.share("c", 2, Core::Time(0)), 0.5);
-    busy.on_heard("idle", {}, Core::Time(0));
+    busy.on_peer_demand("idle", {}, Core::Time(0));
     EXPECT_GT(busy.share("c", 2, Core::Time(0)), 0.97);
     EXPECT_DOUBLE_EQ(busy.share("c", 2, Core::Time(5000)), 0.5);
 }
--- a/Tests/LibRouting/TestRequestFlow.cpp
+++ b/Tests/LibRouting/TestRequestFlow.cpp
@@ -57,7 +57,7 @@
 
 }
 
-RC_GTEST_PROP(RequestFlow, ExactlyOneFinalAnswerAndNoSecondRunOfWhatMayNotRepeat, (uint64_t seed))
+RC_GTEST_PROP(RequestFlow, ExactlyOneFinalAnswerAndNoSecondRunOfANonRepeatableRequest, (uint64_t seed))
 {
     std::mt19937_64 random(seed);
     auto const repeatability = random() % 2 == 0 ? Repeatability::Once : Repeatability::Repeatable;
@@ -179,7 +179,7 @@
     EXPECT_EQ(std::get<SendResume>(actions[0]).next_sequence, 1);
 }
 
-TEST(RequestFlow, ARequestGivenUpOnIsAnsweredAtOnceAndSaysWhenToComeBack)
+TEST(RequestFlow, AFailedRequestIsAnsweredAtOnceWithARetryAfterTime)
 {
     RetryBudget budget(0);
     RequestFlow flow(Repeatability::Once, Core::Time(10000), {}, budget);
--- a/Tests/LibRouting/TestServerTable.cpp
+++ b/Tests/LibRouting/TestServerTable.cpp
@@ -217,7 +217,7 @@
 {
     m_table.set_server(engine("1", "a"), m_now);
     EXPECT_FALSE(m_table.is_answering("1", m_now));
-    m_table.on_heard("1", m_now);
+    m_table.on_received("1", m_now);
     EXPECT_TRUE(m_table.is_answering("1", m_now + Core::Duration(500)));
     EXPECT_FALSE(m_table.is_answering("1", m_now + Core::Duration(700)));
 }
@@ -384,7 +384,7 @@
     m_table.on_silent("1", "r1", m_now);
     EXPECT_FALSE(choose().has_value());
     m_now += Core::Duration(20);
-    m_table.on_heard("1", m_now);
+    m_table.on_received("1", m_now);
     EXPECT_TRUE(choose().has_value());
     // A second look at its silence is the same fault.
     m_table.on_silent("1", "r1", m_now);
@@ -426,7 +426,7 @@
     m_table.on_sent("r3", *again, 900, m_now);
     m_now += Core::Duration(10);
     m_table.on_ended("1", "r3", ServerOutcome::Unreachable, m_now);
-    m_table.on_heard("1", m_now);
+    m_table.on_received("1", m_now);
     EXPECT_FALSE(choose().has_value());
 }
 
