--- a/Libraries/LibRouting/Admission.cpp
+++ b/Libraries/LibRouting/Admission.cpp
@@ -13,11 +13,11 @@
         return RefuseNotRun { Schema::Reason::KeyMalformed };
     switch (entry->state) {
     case IdempotencyTable::State::Running:
-        return RefuseUnknown { Schema::Reason::KeyInProgress };
+        return RefuseMayHaveRun { Schema::Reason::KeyInProgress };
     case IdempotencyTable::State::Answered:
         return Replay { entry->answer };
     case IdempotencyTable::State::Unknown:
-        return RefuseUnknown { Schema::Reason::BackendBrokeOff };
+        return RefuseMayHaveRun { Schema::Reason::BackendBrokeOff };
     }
     return {};
 }
@@ -51,7 +51,7 @@
     if (auto reason = home.refusal(*dispatch.key, view.now, view.wall_now)) {
         bool const may_have_run = *reason == Schema::Reason::KeyBeforeHome || *reason == Schema::Reason::KeyTooOld;
         if (may_have_run)
-            return RefuseUnknown { *reason };
+            return RefuseMayHaveRun { *reason };
         return RefuseNotRun { *reason };
     }
     if (!table.begin(*dispatch.key, dispatch.customer, view.now))
--- a/Libraries/LibRouting/Admission.h
+++ b/Libraries/LibRouting/Admission.h
@@ -20,7 +20,7 @@
 };
 
 /// The request is refused because an earlier request with the same idempotency key runs, or may have run, here or at another agent.
-struct RefuseUnknown {
+struct RefuseMayHaveRun {
     Schema::Reason reason;
 };
 
@@ -29,7 +29,7 @@
     StoredAnswer answer;
 };
 
-using AdmissionResult = std::variant<Admit, RefuseNotRun, RefuseUnknown, Replay>;
+using AdmissionResult = std::variant<Admit, RefuseNotRun, RefuseMayHaveRun, Replay>;
 
 /// The state of an agent that decides whether it admits a request.
 struct AdmissionView {
--- a/Libraries/LibRouting/AttemptPolicy.cpp
+++ b/Libraries/LibRouting/AttemptPolicy.cpp
@@ -20,7 +20,7 @@
         return "not_run";
     case AttemptOutcome::ServerFailure:
         return "server_failure";
-    case AttemptOutcome::BrokenOff:
+    case AttemptOutcome::InvalidAnswer:
         return "broken_off";
     case AttemptOutcome::ServerTerminated:
         return "server_ended";
@@ -61,7 +61,7 @@
             return state.has_delivered ? NextStep::Resume : NextStep::RetryFromStart;
     }
     if (state.has_delivered)
-        return NextStep::BreakOff;
+        return NextStep::AbortAnswer;
     if (outcome == AttemptOutcome::ServerFailure)
         return NextStep::ForwardFailure;
     if (cannot_have_run(outcome) && !state.may_have_run)
--- a/Libraries/LibRouting/AttemptPolicy.h
+++ b/Libraries/LibRouting/AttemptPolicy.h
@@ -15,7 +15,7 @@
     /// The backend server answered with an error; the request counts as run.
     ServerFailure,
     /// The answer was cut off, was not a valid answer, or belonged to another request.
-    BrokenOff,
+    InvalidAnswer,
     /// The backend server terminated while it ran the request.
     ServerTerminated,
     /// Nothing was received from the backend server for longer than the request can wait.
@@ -61,7 +61,7 @@
     /// Answer that it is unknown whether the request ran.
     ReportUnknown,
     /// Abort the answer in such a way that the caller notices that it is incomplete.
-    BreakOff,
+    AbortAnswer,
 };
 
 /// Whether the request may safely run more than once: it is declared repeatable, or is a stream that can be resumed.
--- a/Libraries/LibRouting/CrashSuspects.cpp
+++ b/Libraries/LibRouting/CrashSuspects.cpp
@@ -221,7 +221,7 @@
 
 // Runs.
 
-bool CrashSuspects::may_send(std::string const& digest, Core::Time now) const
+bool CrashSuspects::can_send(std::string const& digest, Core::Time now) const
 {
     auto const standing = this->standing(digest, now);
     if (standing == CrashStanding::Clear)
--- a/Libraries/LibRouting/CrashSuspects.h
+++ b/Libraries/LibRouting/CrashSuspects.h
@@ -13,6 +13,7 @@
 
 /// How a request is to be treated, by how many backend servers terminated while they ran it.
 enum class CrashStanding {
+    /// No server did, or only such whose terminations are attributed to other, blamed requests: the request is not restricted.
     Clear,
     /// One server terminated while it ran the request: each entry sends one copy of it at a time.
     Suspected,
@@ -53,7 +54,9 @@
     /// Whether there are no suspects; count() is their number, blamed ones included.
     bool is_empty() const { return m_suspects.empty(); }
     size_t count() const { return m_suspects.size(); }
+    /// Number of requests that are blamed, or were until their blame expired.
     size_t blamed_count() const { return m_blamed; }
+    /// How the request is to be treated now. Blamed turns into RunsAlone when the blame has expired.
     CrashStanding standing(std::string const& digest, Core::Time now) const;
     /// The record of servers that terminated while they ran the request; nullptr if it is no suspect.
     Schema::CrashSuspect const* find(std::string const& digest) const;
@@ -67,7 +70,7 @@
     bool clear(std::string const& digest);
 
     /// Whether this entry may send a copy of the request now.
-    bool may_send(std::string const& digest, Core::Time now) const;
+    bool can_send(std::string const& digest, Core::Time now) const;
     /// Records that this entry sends the request to a server. @return the restrictions that hold until on_attempt_over().
     CrashRestriction on_sent(std::string const& digest, std::string const& server, Core::Time now);
     /// Records that an attempt for which on_sent() did not return Free has ended, with whatever outcome.
--- a/Libraries/LibRouting/DemandShares.cpp
+++ b/Libraries/LibRouting/DemandShares.cpp
@@ -14,21 +14,21 @@
 
 void DemandShares::on_request_offered(std::string const& customer)
 {
-    m_offered_requests[customer] += 1;
+    m_requests[customer] += 1;
 }
 
 void DemandShares::end_interval()
 {
     auto const seconds = static_cast<double>(interval.count()) / 1000;
-    for (auto const& [customer, count] : m_offered_requests)
+    for (auto const& [customer, count] : m_requests)
         m_per_second.try_emplace(customer, 0);
     for (auto& [customer, rate] : m_per_second) {
-        auto const found = m_offered_requests.find(customer);
-        double const now = found == m_offered_requests.end() ? 0 : found->second / seconds;
+        auto const found = m_requests.find(customer);
+        double const now = found == m_requests.end() ? 0 : found->second / seconds;
         rate += smoothing * (now - rate);
     }
     std::erase_if(m_per_second, [](auto const& entry) { return entry.second < min_kept_per_second; });
-    m_offered_requests.clear();
+    m_requests.clear();
 }
 
 std::vector<Schema::Demand> DemandShares::local_demand() const
--- a/Libraries/LibRouting/DemandShares.h
+++ b/Libraries/LibRouting/DemandShares.h
@@ -13,7 +13,7 @@
 /// coordinator: every entry announces its customers' demand to the other entries through a few agents.
 class DemandShares {
 public:
-    /// How often end_interval() is to be called.
+    /// Length of a measurement interval: how often end_interval() has to be called.
     static constexpr Core::Duration interval { 1000 };
 
     /// Counts a request that arrived at this entry, whether or not it is admitted.
@@ -38,7 +38,7 @@
         std::map<std::string, double> per_second;
     };
 
-    std::map<std::string, double> m_offered_requests;
+    std::map<std::string, double> m_requests;
     std::map<std::string, double> m_per_second;
     std::map<std::string, PeerDemand> m_peers;
 };
--- a/Libraries/LibRouting/FirstRequestEstimator.h
+++ b/Libraries/LibRouting/FirstRequestEstimator.h
@@ -29,6 +29,7 @@
     /// Whether clearly more wait times are about as long as the one at index `first` than are slightly shorter.
     static bool stands_out(std::vector<Core::Duration> const& longest_first, size_t first);
 
+    // The latest 128 wait times, by route.
     std::map<std::string, std::deque<Core::Duration>> m_recent;
 };
 
--- a/Libraries/LibRouting/Limits.cpp
+++ b/Libraries/LibRouting/Limits.cpp
@@ -66,7 +66,7 @@
 
 void CustomerLimits::set_customers(std::map<std::string, Schema::CustomerSpec> const& customers)
 {
-    m_are_configured = !customers.empty();
+    m_has_configured_customers = !customers.empty();
     for (auto& [name, state] : m_customers)
         state.is_configured = false;
     for (auto const& [name, spec] : customers) {
@@ -101,7 +101,7 @@
 
 std::optional<CustomerLimits::Refusal> CustomerLimits::start(std::string const& customer, Core::Time now)
 {
-    if (!m_are_configured) {
+    if (!m_has_configured_customers) {
         m_customers[customer].in_flight += 1;
         return {};
     }
--- a/Libraries/LibRouting/Limits.h
+++ b/Libraries/LibRouting/Limits.h
@@ -47,7 +47,7 @@
     /// Replaces the configured customers. While none is configured, every customer is admitted without limits; otherwise a customer that
     /// is not configured is refused.
     void set_customers(std::map<std::string, Schema::CustomerSpec> const&);
-    /// This entry's share (0 to 1) of a customer's limits; 1 until it is set.
+    /// Sets this entry's share (0 to 1) of a customer's limits; it is 1 until it is set. Ignored for an unknown customer.
     void set_share(std::string const& customer, double share);
 
     /// Admits a request and counts it as in flight, until finish() is called for it.
@@ -71,7 +71,7 @@
     static void apply_share(State&);
     static size_t concurrency_share(State const&);
 
-    bool m_are_configured { false };
+    bool m_has_configured_customers { false };
     std::map<std::string, State> m_customers;
 };
 
@@ -81,6 +81,7 @@
     /// `ratio`: retries per request.
     explicit RetryBudget(double ratio);
 
+    /// Adds `ratio` to the budget.
     void on_request();
     /// @return whether a retry may be made; if so, it is deducted from the budget.
     bool try_acquire();
--- a/Libraries/LibRouting/RequestFlow.cpp
+++ b/Libraries/LibRouting/RequestFlow.cpp
@@ -49,8 +49,8 @@
 FlowAction RequestFlow::failure_action(Schema::Reason reason) const
 {
     if (m_has_delivered)
-        return BreakOff { reason };
-    return GiveUp { Schema::Outcome::Unknown, reason, unknown_retry_after };
+        return AbortAnswer { reason };
+    return AnswerWithError { Schema::Outcome::Unknown, reason, unknown_retry_after };
 }
 
 FlowActions RequestFlow::end_with(FlowAction last, std::optional<InstanceOutcome> outcome, Schema::Reason reason)
@@ -79,7 +79,7 @@
 {
     m_instance = instance;
     m_attempts += 1;
-    auto final_action = m_may_have_run ? failure_action(Schema::Reason::LinkLost) : FlowAction(GiveUp { Schema::Outcome::NotRun, Schema::Reason::LinkLost, not_run_retry_after });
+    auto final_action = m_may_have_run ? failure_action(Schema::Reason::LinkLost) : FlowAction(AnswerWithError { Schema::Outcome::NotRun, Schema::Reason::LinkLost, not_run_retry_after });
     if (m_attempts >= m_settings.max_attempts) {
         m_phase = Phase::Over;
         return { final_action };
@@ -94,7 +94,7 @@
         return {};
     m_phase = Phase::Over;
     auto const outcome = m_may_have_run ? Schema::Outcome::Unknown : Schema::Outcome::NotRun;
-    return { GiveUp { outcome, reason, retry_after } };
+    return { AnswerWithError { outcome, reason, retry_after } };
 }
 
 FlowActions RequestFlow::on_accepted(std::string const& attempt)
@@ -125,7 +125,7 @@
         return {};
     auto const outcome = reason == Schema::Reason::ConnectFailed ? InstanceOutcome::Failure : InstanceOutcome::Neutral;
     auto const known = m_may_have_run ? Schema::Outcome::Unknown : Schema::Outcome::NotRun;
-    auto give_up = GiveUp { known, reason, std::max(retry_after, not_run_retry_after) };
+    auto give_up = AnswerWithError { known, reason, std::max(retry_after, not_run_retry_after) };
     if (!should_retry_elsewhere(reason))
         return end_with(give_up, outcome, reason);
     // A refusal costs the instance almost nothing, so the retry is not charged to the budget.
@@ -180,7 +180,7 @@
     if (!is_whole)
         return actions;
     auto const outcome = m_has_server_error ? InstanceOutcome::Failure : InstanceOutcome::Success;
-    auto rest = end_with(FinishAnswer {}, outcome, Schema::Reason::None);
+    auto rest = end_with(EndAnswer {}, outcome, Schema::Reason::None);
     actions.insert(actions.end(), rest.begin(), rest.end());
     return actions;
 }
--- a/Libraries/LibRouting/RequestFlow.h
+++ b/Libraries/LibRouting/RequestFlow.h
@@ -45,15 +45,15 @@
 };
 
 /// End the answer to the caller: every part was delivered.
-struct FinishAnswer { };
+struct EndAnswer { };
 
 /// Abort the answer, of which a part was delivered, in such a way that the caller notices that it is incomplete.
-struct BreakOff {
+struct AbortAnswer {
     Schema::Reason reason;
 };
 
 /// Answer with an error: no part of an answer was delivered. `outcome` says whether the request may have run.
-struct GiveUp {
+struct AnswerWithError {
     Schema::Outcome outcome;
     Schema::Reason reason;
     /// How long the caller should wait before it retries.
@@ -69,7 +69,7 @@
     bool is_retried { false };
 };
 
-using FlowAction = std::variant<NeedInstance, SendCancel, SendResume, SendAcknowledge, Deliver, FinishAnswer, BreakOff, GiveUp, AttemptOver>;
+using FlowAction = std::variant<NeedInstance, SendCancel, SendResume, SendAcknowledge, Deliver, EndAnswer, AbortAnswer, AnswerWithError, AttemptOver>;
 using FlowActions = std::vector<FlowAction>;
 
 struct FlowSettings {
--- a/Services/Agent/RequestRunner.cpp
+++ b/Services/Agent/RequestRunner.cpp
@@ -83,7 +83,7 @@
     auto const result = Routing::admit(dispatch, view, m_home, m_once);
     if (auto const* refused = std::get_if<Routing::RefuseNotRun>(&result))
         refuse(entry, dispatch.attempt, refused->reason);
-    else if (auto const* unknown = std::get_if<Routing::RefuseUnknown>(&result))
+    else if (auto const* unknown = std::get_if<Routing::RefuseMayHaveRun>(&result))
         broken(entry, dispatch.attempt, unknown->reason);
     else if (auto const* earlier = std::get_if<Routing::Replay>(&result))
         replay(entry, dispatch, earlier->answer);
--- a/Services/DirectEntry/Refusal.cpp
+++ b/Services/DirectEntry/Refusal.cpp
@@ -32,7 +32,7 @@
         return "outcome_unknown";
     case Refusal::ServerFailure:
         return "server_failure";
-    case Refusal::BrokenOff:
+    case Refusal::InvalidAnswer:
         return "broken_off";
     case Refusal::EndsServers:
         return "ends_servers";
--- a/Services/DirectEntry/SuspectedRequest.cpp
+++ b/Services/DirectEntry/SuspectedRequest.cpp
@@ -26,9 +26,9 @@
     return has_suspects() ? m_watch.suspects().standing(digest(), Core::monotonic_now()) : CrashStanding::Clear;
 }
 
-bool SuspectedRequest::may_send()
+bool SuspectedRequest::can_send()
 {
-    return !has_suspects() || m_watch.suspects().may_send(digest(), Core::monotonic_now());
+    return !has_suspects() || m_watch.suspects().can_send(digest(), Core::monotonic_now());
 }
 
 void SuspectedRequest::add_to(Routing::ServerNeeds& needs)
--- a/Services/DirectEntry/SuspectedRequest.h
+++ b/Services/DirectEntry/SuspectedRequest.h
@@ -20,7 +20,7 @@
     bool is(std::string const& digest) { return this->digest() == digest; }
     Routing::CrashStanding standing();
     /// Whether a copy may go out from this entry now.
-    bool may_send();
+    bool can_send();
     /// Tells apart where the request may go: with others like it, or by itself.
     void add_to(Routing::ServerNeeds&);
 
--- a/Services/Entry/CallerApi.cpp
+++ b/Services/Entry/CallerApi.cpp
@@ -141,14 +141,14 @@
         more = find_instance(context);
     } else if (auto const* part = std::get_if<Routing::Deliver>(&action)) {
         deliver(context, part->part, more);
-    } else if (std::holds_alternative<Routing::FinishAnswer>(action)) {
+    } else if (std::holds_alternative<Routing::EndAnswer>(action)) {
         m_metrics.count("mountbarrow_entry_answered_total");
         m_metrics.observe_ms("mountbarrow_entry_answer_ms", static_cast<double>((Core::monotonic_now() - context.started).count()));
         context.exchange->end();
-    } else if (auto const* broken = std::get_if<Routing::BreakOff>(&action)) {
+    } else if (auto const* broken = std::get_if<Routing::AbortAnswer>(&action)) {
         m_metrics.count("mountbarrow_entry_broken_off_total", label(broken->reason));
         context.exchange->abort();
-    } else if (auto const* give_up_action = std::get_if<Routing::GiveUp>(&action)) {
+    } else if (auto const* give_up_action = std::get_if<Routing::AnswerWithError>(&action)) {
         give_up(context, *give_up_action);
     } else if (auto const* over = std::get_if<Routing::AttemptOver>(&action)) {
         attempt_over(context, *over);
@@ -192,7 +192,7 @@
     more = context.flow.on_caller_gone();
 }
 
-void CallerApi::give_up(Context& context, Routing::GiveUp const& action)
+void CallerApi::give_up(Context& context, Routing::AnswerWithError const& action)
 {
     char const* name = action.outcome == Schema::Outcome::NotRun ? "mountbarrow_entry_refused_total" : "mountbarrow_entry_unknown_total";
     m_metrics.count(name, label(action.reason));
--- a/Services/Entry/CallerApi.h
+++ b/Services/Entry/CallerApi.h
@@ -70,7 +70,7 @@
     void perform(Context&, Routing::FlowActions);
     void perform_one(Context&, Routing::FlowAction const&, Routing::FlowActions& more);
     void deliver(Context&, Schema::Part const&, Routing::FlowActions& more);
-    void give_up(Context&, Routing::GiveUp const&);
+    void give_up(Context&, Routing::AnswerWithError const&);
     void attempt_over(Context&, Routing::AttemptOver const&);
     Routing::FlowActions find_instance(Context&);
     Routing::FlowActions wait_in_queue(Context&);
--- a/Tests/LibRouting/TestAdmission.cpp
+++ b/Tests/LibRouting/TestAdmission.cpp
@@ -49,7 +49,7 @@
 TEST_F(AdmissionTest, AKeyRunsOnceAndItsStoredAnswerIsSentAgain)
 {
     EXPECT_TRUE(std::holds_alternative<Admit>(decide()));
-    EXPECT_EQ(std::get<RefuseUnknown>(decide()).reason, Schema::Reason::KeyInProgress);
+    EXPECT_EQ(std::get<RefuseMayHaveRun>(decide()).reason, Schema::Reason::KeyInProgress);
     table.record_answer(key, { 200, {}, "done" });
     // The stored answer is also sent while the agent drains and after its lease has expired.
     view.is_draining = true;
@@ -61,7 +61,7 @@
 {
     decide();
     table.unknown(key);
-    EXPECT_TRUE(std::holds_alternative<RefuseUnknown>(decide()));
+    EXPECT_TRUE(std::holds_alternative<RefuseMayHaveRun>(decide()));
 }
 
 TEST_F(AdmissionTest, AKeyWhoseRequestWasNotSentMayRun)
--- a/Tests/LibRouting/TestCrashSuspects.cpp
+++ b/Tests/LibRouting/TestCrashSuspects.cpp
@@ -131,12 +131,12 @@
 {
     EXPECT_EQ(m_suspects.on_sent("a", "s1", m_now), CrashRestriction::Free);
     end("1", { { "a" } });
-    EXPECT_TRUE(m_suspects.may_send("a", m_now));
+    EXPECT_TRUE(m_suspects.can_send("a", m_now));
     EXPECT_EQ(m_suspects.on_sent("a", "s2", m_now), CrashRestriction::Suspect);
-    EXPECT_FALSE(m_suspects.may_send("a", m_now));
+    EXPECT_FALSE(m_suspects.can_send("a", m_now));
     EXPECT_TRUE(m_suspects.servers_with_suspects(CrashSuspects::RunFilter::AloneRuns, m_now).empty());
     m_suspects.on_attempt_over("a");
-    EXPECT_TRUE(m_suspects.may_send("a", m_now));
+    EXPECT_TRUE(m_suspects.can_send("a", m_now));
 }
 
 TEST_F(CrashSuspectsTest, ASuspectOfTwoTerminationsRunsOnceInTheWholeFleet)
@@ -148,15 +148,15 @@
     run.digest = "a";
     run.server = "s3";
     m_suspects.on_peer_run("entry", run, m_now);
-    EXPECT_FALSE(m_suspects.may_send("a", m_now));
+    EXPECT_FALSE(m_suspects.can_send("a", m_now));
     EXPECT_EQ(m_suspects.servers_with_suspects(CrashSuspects::RunFilter::AloneRuns, m_now), std::set<std::string> { "s3" });
     run.is_over = true;
     m_suspects.on_peer_run("entry", run, m_now);
-    EXPECT_TRUE(m_suspects.may_send("a", m_now));
+    EXPECT_TRUE(m_suspects.can_send("a", m_now));
     run.is_over = false;
     m_suspects.on_peer_run("entry", run, m_now);
     m_suspects.on_peer_gone("entry");
-    EXPECT_TRUE(m_suspects.may_send("a", m_now));
+    EXPECT_TRUE(m_suspects.can_send("a", m_now));
     EXPECT_EQ(m_suspects.on_sent("a", "s4", m_now), CrashRestriction::Alone);
     EXPECT_EQ(m_suspects.servers_with_suspects(CrashSuspects::RunFilter::AloneRuns, m_now), std::set<std::string> { "s4" });
 }
@@ -347,7 +347,7 @@
 
     bool send(Stream stream)
     {
-        if (!m_suspects.may_send(stream.digest, m_now))
+        if (!m_suspects.can_send(stream.digest, m_now))
             return false;
         auto const standing = m_suspects.standing(stream.digest, m_now);
         auto const among = standing == CrashStanding::RunsAlone ? CrashSuspects::RunFilter::AllRuns : CrashSuspects::RunFilter::AloneRuns;
--- a/Tests/LibRouting/TestDirectRouting.cpp
+++ b/Tests/LibRouting/TestDirectRouting.cpp
@@ -139,7 +139,7 @@
 
 static AttemptOutcome any_outcome()
 {
-    return *rc::gen::element(AttemptOutcome::NotConnected, AttemptOutcome::NotRun, AttemptOutcome::ServerFailure, AttemptOutcome::BrokenOff, AttemptOutcome::ServerTerminated, AttemptOutcome::Silent, AttemptOutcome::Outdated);
+    return *rc::gen::element(AttemptOutcome::NotConnected, AttemptOutcome::NotRun, AttemptOutcome::ServerFailure, AttemptOutcome::InvalidAnswer, AttemptOutcome::ServerTerminated, AttemptOutcome::Silent, AttemptOutcome::Outdated);
 }
 
 static bool may_have_run_now(AttemptOutcome end, AttemptState const& state)
@@ -170,7 +170,7 @@
     state.kind = Schema::RouteKind::Stream;
     state.has_delivered = true;
     auto const step = next_step(any_outcome(), state);
-    RC_ASSERT(step == NextStep::Resume || step == NextStep::BreakOff);
+    RC_ASSERT(step == NextStep::Resume || step == NextStep::AbortAnswer);
 }
 
 RC_GTEST_PROP(AttemptPolicy, NeitherBudgetNorAttemptsNorTimeAreOverspent, ())
--- a/Tests/LibRouting/TestRequestFlow.cpp
+++ b/Tests/LibRouting/TestRequestFlow.cpp
@@ -16,7 +16,7 @@
 struct Caller {
     size_t finals { 0 };
     std::string received;
-    std::optional<GiveUp> given_up;
+    std::optional<AnswerWithError> error_answer;
     bool is_whole { false };
     bool is_broken_off { false };
 
@@ -26,15 +26,15 @@
             if (auto const* deliver = std::get_if<Deliver>(&action)) {
                 RC_ASSERT(finals == 0u);
                 received += deliver->part.data;
-            } else if (std::holds_alternative<FinishAnswer>(action)) {
+            } else if (std::holds_alternative<EndAnswer>(action)) {
                 finals += 1;
                 is_whole = true;
-            } else if (std::holds_alternative<BreakOff>(action)) {
+            } else if (std::holds_alternative<AbortAnswer>(action)) {
                 finals += 1;
                 is_broken_off = true;
-            } else if (auto const* give_up = std::get_if<GiveUp>(&action)) {
+            } else if (auto const* give_up = std::get_if<AnswerWithError>(&action)) {
                 finals += 1;
-                given_up = *give_up;
+                error_answer = *give_up;
             }
         }
     }
@@ -156,11 +156,11 @@
         RC_ASSERT(is_one_attempts);
     }
     RC_ASSERT(caller.is_broken_off == (!caller.received.empty() && !caller.is_whole));
-    if (caller.given_up) {
-        RC_ASSERT(caller.given_up->retry_after.count() > 0);
+    if (caller.error_answer) {
+        RC_ASSERT(caller.error_answer->retry_after.count() > 0);
         bool const has_run = std::any_of(attempts.begin(), attempts.end(), [](auto const& attempt) { return attempt.has_run; });
         if (has_run)
-            RC_ASSERT(caller.given_up->outcome != Schema::Outcome::NotRun);
+            RC_ASSERT(caller.error_answer->outcome != Schema::Outcome::NotRun);
     }
 }
 
@@ -186,7 +186,7 @@
     flow.start();
     flow.on_dispatched("i", 7, "a", Core::Time(0));
     auto const actions = flow.on_broken("a", Schema::Reason::BackendBrokeOff);
-    auto const give_up = std::get<GiveUp>(actions.back());
+    auto const give_up = std::get<AnswerWithError>(actions.back());
     EXPECT_EQ(give_up.outcome, Schema::Outcome::Unknown);
     EXPECT_GT(give_up.retry_after.count(), 0);
 }
@@ -205,13 +205,13 @@
         for (auto const& action : actions) {
             if (std::holds_alternative<NeedInstance>(action))
                 last_action = "need_instance";
-            else if (std::holds_alternative<FinishAnswer>(action))
+            else if (std::holds_alternative<EndAnswer>(action))
                 last_action = "answered";
-            else if (std::holds_alternative<BreakOff>(action))
+            else if (std::holds_alternative<AbortAnswer>(action))
                 last_action = "broken_off";
             else if (std::holds_alternative<SendResume>(action))
                 last_action = "resume";
-            else if (auto const* give_up = std::get_if<GiveUp>(&action))
+            else if (auto const* give_up = std::get_if<AnswerWithError>(&action))
                 last_action = Schema::enumerator_name(give_up->outcome) + " " + Schema::enumerator_name(give_up->reason);
         }
     };
