--- a/Libraries/LibDistribution/Transfer.cpp
+++ b/Libraries/LibDistribution/Transfer.cpp
@@ -276,7 +276,7 @@
             continue;
         bool const is_better = best.empty() || load < best_load;
         ties = is_better ? 1 : ties + 1;
-        // RunFilter equals each has the same chance.
+        // Among equals each has the same chance.
         if (is_better || m_random() % ties == 0) {
             best = id;
             best_load = load;
@@ -296,7 +296,7 @@
     }
     if (candidates.empty())
         return false;
-    // RunFilter equals each has the same chance.
+    // Among equals each has the same chance.
     std::shuffle(candidates.begin(), candidates.end(), m_random);
     if (m_settings.rarity_sample > 0 && candidates.size() > m_settings.rarity_sample)
         candidates.resize(m_settings.rarity_sample);
--- a/Libraries/LibRouting/AttemptPolicy.cpp
+++ b/Libraries/LibRouting/AttemptPolicy.cpp
@@ -20,7 +20,7 @@
         return "not_run";
     case AttemptOutcome::ServerFailure:
         return "server_failure";
-    case AttemptOutcome::InvalidAnswer:
+    case AttemptOutcome::BrokenOff:
         return "broken_off";
     case AttemptOutcome::ServerTerminated:
         return "server_ended";
--- a/Libraries/LibRouting/AttemptPolicy.h
+++ b/Libraries/LibRouting/AttemptPolicy.h
@@ -15,7 +15,7 @@
     /// The backend server answered with an error; the request counts as run.
     ServerFailure,
     /// The answer was cut off, was not a valid answer, or belonged to another request.
-    InvalidAnswer,
+    BrokenOff,
     /// The backend server terminated while it ran the request.
     ServerTerminated,
     /// Nothing was received from the backend server for longer than the request can wait.
--- a/Libraries/LibRouting/RequestFlow.cpp
+++ b/Libraries/LibRouting/RequestFlow.cpp
@@ -125,12 +125,12 @@
         return {};
     auto const outcome = reason == Schema::Reason::ConnectFailed ? InstanceOutcome::Failure : InstanceOutcome::Neutral;
     auto const known = m_may_have_run ? Schema::Outcome::Unknown : Schema::Outcome::NotRun;
-    auto give_up = AnswerWithError { known, reason, std::max(retry_after, not_run_retry_after) };
+    auto refusal_action = AnswerWithError { known, reason, std::max(retry_after, not_run_retry_after) };
     if (!should_retry_elsewhere(reason))
-        return end_with(give_up, outcome, reason);
+        return end_with(refusal_action, outcome, reason);
     // A refusal costs the instance almost nothing, so the retry is not charged to the budget.
     bool const is_charged_to_budget = reason == Schema::Reason::ConnectFailed;
-    return retry_or_end_with(reason, outcome, give_up, is_charged_to_budget);
+    return retry_or_end_with(reason, outcome, refusal_action, is_charged_to_budget);
 }
 
 FlowActions RequestFlow::fail_attempt(Schema::Reason reason, InstanceOutcome outcome)
--- a/Libraries/LibRouting/ServerTable.cpp
+++ b/Libraries/LibRouting/ServerTable.cpp
@@ -470,7 +470,7 @@
             continue;
         bool const is_better = !best || own_cost < best_cost;
         ties = is_better ? 1 : ties + 1;
-        // RunFilter equals each has the same chance.
+        // Among equals each has the same chance.
         if (is_better || m_random() % ties == 0) {
             best = &server;
             best_cost = own_cost;
--- a/Libraries/LibRouting/ServerTable.h
+++ b/Libraries/LibRouting/ServerTable.h
@@ -239,7 +239,7 @@
     int64_t room(Server const&, Core::Time now) const;
     /// Whether this entry has taken its part of the places that the last report showed free at another's engine.
     bool has_taken_its_part(Server const&, Core::Time now) const;
-    /// RunFilter how many the places are shared that a report showed free.
+    /// Among how many the places are shared that a report showed free.
     int64_t sharers(EngineRole) const;
     bool has_room(Server const&, Core::Time now) const;
     Load load(Server const&, EngineTimes const&, Core::Time now) const;
--- a/Libraries/LibTransport/BackendCall.cpp
+++ b/Libraries/LibTransport/BackendCall.cpp
@@ -103,7 +103,7 @@
     bool const is_orderly = (events & BEV_EVENT_EOF) && !(events & BEV_EVENT_ERROR);
     if (is_orderly && m_reader.finish())
         return;
-    fail(CallFailure::InvalidAnswer);
+    fail(CallFailure::BrokenOff);
 }
 
 void BackendCall::State::on_bytes()
--- a/Libraries/LibTransport/BackendCall.h
+++ b/Libraries/LibTransport/BackendCall.h
@@ -16,7 +16,7 @@
     /// Not one byte of the request was written: it was not run.
     NotConnected,
     /// The connection ended, or said nothing for too long, after the request was sent: it may have run.
-    InvalidAnswer,
+    BrokenOff,
     /// What came back is no answer.
     Malformed,
 };
--- a/Libraries/LibTransport/HttpClient.cpp
+++ b/Libraries/LibTransport/HttpClient.cpp
@@ -124,7 +124,7 @@
 {
     // libevent reports an error here only once the connection stood; a failed connect has none.
     m_has_failed = true;
-    m_failure = error == EVREQ_HTTP_TIMEOUT ? HttpFailure::TimedOut : HttpFailure::InvalidAnswer;
+    m_failure = error == EVREQ_HTTP_TIMEOUT ? HttpFailure::TimedOut : HttpFailure::BrokenOff;
 }
 
 bool HttpCall::State::is_framed(evhttp_request* request) const
@@ -154,7 +154,7 @@
         return;
     }
     if (!m_has_failed && m_has_reached_server)
-        m_failure = HttpFailure::InvalidAnswer;
+        m_failure = HttpFailure::BrokenOff;
     if (callbacks.failed)
         callbacks.failed(m_failure);
 }
--- a/Libraries/LibTransport/HttpClient.h
+++ b/Libraries/LibTransport/HttpClient.h
@@ -16,7 +16,7 @@
     /// The connection was never made: not one byte of the request was written.
     NotConnected,
     /// Anything later: the server may have acted on the request.
-    InvalidAnswer,
+    BrokenOff,
     TimedOut,
 };
 
--- a/Libraries/LibTransport/KeptConnection.cpp
+++ b/Libraries/LibTransport/KeptConnection.cpp
@@ -90,7 +90,7 @@
     };
     auto const on_error = [](evhttp_request_error error, void* raw) {
         // libevent reports an error here only once the connection stood.
-        static_cast<Call*>(raw)->failure = error == EVREQ_HTTP_TIMEOUT ? HttpFailure::TimedOut : HttpFailure::InvalidAnswer;
+        static_cast<Call*>(raw)->failure = error == EVREQ_HTTP_TIMEOUT ? HttpFailure::TimedOut : HttpFailure::BrokenOff;
     };
     auto* request = evhttp_request_new(on_end, m_call.get());
     evhttp_request_set_error_cb(request, on_error);
--- a/Services/DirectEntry/ProxiedRequest.cpp
+++ b/Services/DirectEntry/ProxiedRequest.cpp
@@ -335,7 +335,7 @@
         return;
     }
     if (send.body.size() + data.size() > most_buffered_answer) {
-        end_send(send, AttemptOutcome::InvalidAnswer, ServerOutcome::Failure);
+        end_send(send, AttemptOutcome::BrokenOff, ServerOutcome::Failure);
         return;
     }
     send.body.append(data);
@@ -345,7 +345,7 @@
 {
     auto const events = send.events.feed(data);
     if (send.events.is_oversized()) {
-        end_send(send, AttemptOutcome::InvalidAnswer, ServerOutcome::Failure);
+        end_send(send, AttemptOutcome::BrokenOff, ServerOutcome::Failure);
         return;
     }
     std::string out;
@@ -366,7 +366,7 @@
         deliver(send, out);
     if (has_gap && !is_over()) {
         m_context.metrics.count("mountbarrow_event_gaps_total");
-        end_send(send, AttemptOutcome::InvalidAnswer, ServerOutcome::Failure);
+        end_send(send, AttemptOutcome::BrokenOff, ServerOutcome::Failure);
     }
 }
 
@@ -406,7 +406,7 @@
     bool const is_other_answer = answer.request_id != m_head.request_id;
     bool const is_false_success = answer.status / 100 == 2 && !answer.is_genuine;
     if (is_other_answer || is_false_success) {
-        end_send(send, AttemptOutcome::InvalidAnswer, ServerOutcome::Failure);
+        end_send(send, AttemptOutcome::BrokenOff, ServerOutcome::Failure);
         return;
     }
     if (answer.status / 100 != 2) {
@@ -496,7 +496,7 @@
         end_send(send, AttemptOutcome::ServerTerminated, ServerOutcome::Unreachable);
         return;
     }
-    end_send(send, AttemptOutcome::InvalidAnswer, m_context.servers.is_switching(send.target().id, Core::monotonic_now()) ? ServerOutcome::Neutral : ServerOutcome::Failure);
+    end_send(send, AttemptOutcome::BrokenOff, m_context.servers.is_switching(send.target().id, Core::monotonic_now()) ? ServerOutcome::Neutral : ServerOutcome::Failure);
 }
 
 // Sends whose servers are silent.
@@ -671,7 +671,7 @@
             return;
         }
         if (m_has_delivered)
-            break_off(Refusal::InvalidAnswer);
+            break_off(Refusal::BrokenOff);
         else if (m_may_have_run)
             refuse(status_bad_gateway, Refusal::OutcomeUnknown, {});
         else
@@ -690,7 +690,7 @@
         refuse(end == AttemptOutcome::Silent || end == AttemptOutcome::Outdated ? status_gateway_timeout : status_bad_gateway, Refusal::OutcomeUnknown, {});
         return;
     case NextStep::AbortAnswer:
-        break_off(Refusal::InvalidAnswer);
+        break_off(Refusal::BrokenOff);
         return;
     }
 }
--- a/Services/DirectEntry/Refusal.cpp
+++ b/Services/DirectEntry/Refusal.cpp
@@ -32,7 +32,7 @@
         return "outcome_unknown";
     case Refusal::ServerFailure:
         return "server_failure";
-    case Refusal::InvalidAnswer:
+    case Refusal::BrokenOff:
         return "broken_off";
     case Refusal::EndsServers:
         return "ends_servers";
--- a/Services/DirectEntry/Refusal.h
+++ b/Services/DirectEntry/Refusal.h
@@ -22,7 +22,7 @@
     NotRunAnywhere,
     OutcomeUnknown,
     ServerFailure,
-    InvalidAnswer,
+    BrokenOff,
     /// Servers end that run it.
     EndsServers,
     DeadlinePassed,
--- a/Tests/LibRouting/TestDirectRouting.cpp
+++ b/Tests/LibRouting/TestDirectRouting.cpp
@@ -139,7 +139,7 @@
 
 static AttemptOutcome any_outcome()
 {
-    return *rc::gen::element(AttemptOutcome::NotConnected, AttemptOutcome::NotRun, AttemptOutcome::ServerFailure, AttemptOutcome::InvalidAnswer, AttemptOutcome::ServerTerminated, AttemptOutcome::Silent, AttemptOutcome::Outdated);
+    return *rc::gen::element(AttemptOutcome::NotConnected, AttemptOutcome::NotRun, AttemptOutcome::ServerFailure, AttemptOutcome::BrokenOff, AttemptOutcome::ServerTerminated, AttemptOutcome::Silent, AttemptOutcome::Outdated);
 }
 
 static bool may_have_run_now(AttemptOutcome end, AttemptState const& state)
--- a/Tests/LibRouting/TestRequestFlow.cpp
+++ b/Tests/LibRouting/TestRequestFlow.cpp
@@ -32,9 +32,9 @@
             } else if (std::holds_alternative<AbortAnswer>(action)) {
                 finals += 1;
                 is_broken_off = true;
-            } else if (auto const* give_up = std::get_if<AnswerWithError>(&action)) {
+            } else if (auto const* error_action = std::get_if<AnswerWithError>(&action)) {
                 finals += 1;
-                error_answer = *give_up;
+                error_answer = *error_action;
             }
         }
     }
@@ -186,9 +186,9 @@
     flow.start();
     flow.on_dispatched("i", 7, "a", Core::Time(0));
     auto const actions = flow.on_broken("a", Schema::Reason::BackendBrokeOff);
-    auto const give_up = std::get<AnswerWithError>(actions.back());
-    EXPECT_EQ(give_up.outcome, Schema::Outcome::Unknown);
-    EXPECT_GT(give_up.retry_after.count(), 0);
+    auto const error_action = std::get<AnswerWithError>(actions.back());
+    EXPECT_EQ(error_action.outcome, Schema::Outcome::Unknown);
+    EXPECT_GT(error_action.retry_after.count(), 0);
 }
 
 // Replays recorded traces, with one JSON object per line for each event, and checks the outcomes stated by their `expect` events.
@@ -211,8 +211,8 @@
                 last_action = "broken_off";
             else if (std::holds_alternative<SendResume>(action))
                 last_action = "resume";
-            else if (auto const* give_up = std::get_if<AnswerWithError>(&action))
-                last_action = Schema::enumerator_name(give_up->outcome) + " " + Schema::enumerator_name(give_up->reason);
+            else if (auto const* error_action = std::get_if<AnswerWithError>(&action))
+                last_action = Schema::enumerator_name(error_action->outcome) + " " + Schema::enumerator_name(error_action->reason);
         }
     };
     for (std::string line; std::getline(file, line);) {
--- a/Tests/LibTransport/TestBackendCall.cpp
+++ b/Tests/LibTransport/TestBackendCall.cpp
@@ -101,7 +101,7 @@
         m_failures.clear();
         ScriptedServer server(m_loop, "", ending);
         call(server.port());
-        EXPECT_EQ(m_failures, std::vector<CallFailure> { CallFailure::InvalidAnswer });
+        EXPECT_EQ(m_failures, std::vector<CallFailure> { CallFailure::BrokenOff });
         EXPECT_EQ(server.connections(), 1u);
         EXPECT_EQ(server.requests(), 1u);
     }
@@ -127,7 +127,7 @@
         ScriptedServer server(m_loop, answer, Ending::Close);
         call(server.port());
         EXPECT_EQ(m_done, 0u);
-        EXPECT_EQ(m_failures, std::vector<CallFailure> { CallFailure::InvalidAnswer });
+        EXPECT_EQ(m_failures, std::vector<CallFailure> { CallFailure::BrokenOff });
     }
 }
 
@@ -141,7 +141,7 @@
     ScriptedServer broken(m_loop, "HTTP/1.1 200 OK\r\n\r\nabc", Ending::Reset);
     call(broken.port());
     EXPECT_EQ(m_done, 0u);
-    EXPECT_EQ(m_failures, std::vector<CallFailure> { CallFailure::InvalidAnswer });
+    EXPECT_EQ(m_failures, std::vector<CallFailure> { CallFailure::BrokenOff });
 }
 
 TEST_F(BackendCallTest, BytesThatAreNoAnswerAreAFailure)
