--- a/Libraries/LibRouting/Admission.cpp
+++ b/Libraries/LibRouting/Admission.cpp
@@ -3,26 +3,26 @@
 
 namespace Routing {
 
-static std::optional<AdmissionResult> earlier_run(Schema::Dispatch const& dispatch, OnceTable const& table)
+static std::optional<AdmissionResult> result_of_earlier_run(Schema::Dispatch const& dispatch, IdempotencyTable const& table)
 {
     auto const* entry = table.find(*dispatch.key);
     if (!entry)
         return {};
-    // A key is one customer's own: another's must not be read through it.
+    // A key belongs to one customer: no other customer may read that customer's answer with it.
     if (entry->customer != dispatch.customer)
         return RefuseNotRun { Schema::Reason::KeyMalformed };
     switch (entry->state) {
-    case OnceTable::State::Running:
-        return RefuseUnknown { Schema::Reason::KeyInProgress };
-    case OnceTable::State::Answered:
+    case IdempotencyTable::State::Running:
+        return RefuseMayHaveRun { Schema::Reason::KeyInProgress };
+    case IdempotencyTable::State::Answered:
         return Replay { entry->answer };
-    case OnceTable::State::Unknown:
-        return RefuseUnknown { Schema::Reason::BackendBrokeOff };
+    case IdempotencyTable::State::Unknown:
+        return RefuseMayHaveRun { Schema::Reason::BackendBrokeOff };
     }
     return {};
 }
 
-static bool serves_what_was_asked(Schema::Dispatch const& dispatch, AdmissionView const& view)
+static bool serves_requested_version(Schema::Dispatch const& dispatch, AdmissionView const& view)
 {
     if (!dispatch.model)
         return true;
@@ -31,18 +31,18 @@
     return !dispatch.version || view.serving->version == *dispatch.version;
 }
 
-AdmissionResult admit(Schema::Dispatch const& dispatch, AdmissionView const& view, Membership::IdempotencyKeyOwner const& home, OnceTable& table)
+AdmissionResult admit(Schema::Dispatch const& dispatch, AdmissionView const& view, Membership::IdempotencyKeyOwner const& home, IdempotencyTable& table)
 {
     if (dispatch.key) {
-        // What ran before is answered even by an agent that takes no new work.
-        if (auto earlier = earlier_run(dispatch, table))
+        // A request that ran before is answered even by an agent that is draining.
+        if (auto earlier = result_of_earlier_run(dispatch, table))
             return *earlier;
     }
     if (view.is_draining)
         return RefuseNotRun { Schema::Reason::Draining };
     if (dispatch.deadline_ms <= 0)
         return RefuseNotRun { Schema::Reason::DeadlinePassed };
-    if (!serves_what_was_asked(dispatch, view))
+    if (!serves_requested_version(dispatch, view))
         return RefuseNotRun { Schema::Reason::VersionNotReady };
     if (view.in_flight >= view.capacity)
         return RefuseNotRun { Schema::Reason::InstanceBusy };
@@ -51,7 +51,7 @@
     if (auto reason = home.refusal(*dispatch.key, view.now, view.wall_now)) {
         bool const may_have_run = *reason == Schema::Reason::KeyBeforeHome || *reason == Schema::Reason::KeyTooOld;
         if (may_have_run)
-            return RefuseUnknown { *reason };
+            return RefuseMayHaveRun { *reason };
         return RefuseNotRun { *reason };
     }
     if (!table.begin(*dispatch.key, dispatch.customer, view.now))
--- a/Libraries/LibRouting/ServerTable.cpp
+++ b/Libraries/LibRouting/ServerTable.cpp
@@ -590,7 +590,7 @@
     return found == m_servers.end() ? nullptr : &found->second.record;
 }
 
-void ServerTable::on_heard(std::string const& id, Core::Time now)
+void ServerTable::on_received(std::string const& id, Core::Time now)
 {
     auto const found = m_servers.find(id);
     if (found == m_servers.end())
--- a/Libraries/LibRouting/ServerTable.h
+++ b/Libraries/LibRouting/ServerTable.h
@@ -151,10 +151,10 @@
     /// present one.
     void on_ended(std::string const& id, std::string const& request, ServerOutcome, Core::Time now);
     /// The server sends nothing for the request, which counts as Unreachable and frees its slot. The server may still answer it later.
-    /// Until its suspension ends or on_heard() is called, the server is not chosen.
+    /// Until its suspension ends or on_received() is called, the server is not chosen.
     void on_no_response(std::string const& id, std::string const& request, Core::Time now);
     /// Bytes of an answer to any request arrived from the server. Ends a suspension that on_no_response() caused.
-    void on_heard(std::string const& id, Core::Time now);
+    void on_received(std::string const& id, Core::Time now);
     /// Whether bytes arrived from the server within the last 600 ms. If so, a request that receives nothing there probably waits behind
     /// other requests.
     bool is_answering(std::string const& id, Core::Time now) const;
--- a/Libraries/LibRouting/SlotWait.cpp
+++ b/Libraries/LibRouting/SlotWait.cpp
@@ -30,7 +30,7 @@
 
 Timeliness SlotWait::timeliness(WaitingRequest const& request, Core::Time begins) const
 {
-    return request.terms.of(begins, begins + service_time(request));
+    return request.terms.classify(begins, begins + service_time(request));
 }
 
 void SlotWait::begin(WaitingRequest const& request, Core::Time now)
@@ -38,7 +38,7 @@
     m_is_late = !request.delivered_at && now > request.terms.in_time_until;
     auto& service_queue = m_queue_of(request.service);
     if (m_is_late && service_queue.late_count == 0)
-        service_queue.late_slot_interval.on_first_waiting(now);
+        service_queue.late_slot_interval.on_wait_started(now);
 }
 
 bool SlotWait::join(WaitingRequest const& request, Core::Time now)
@@ -92,7 +92,7 @@
     auto const interval = m_servers.slot_interval(request.service, now);
     auto const expected_interval = Core::Duration(static_cast<int64_t>(static_cast<double>(interval.count()) * m_policy.leftover_factor));
     auto const ahead = m_queue ? 1 : service_queue.late_count + 1;
-    auto const begins = now + service_queue.late_slot_interval.gap(now, expected_interval) * static_cast<int64_t>(ahead);
+    auto const begins = now + service_queue.late_slot_interval.expected_interval(now, expected_interval) * static_cast<int64_t>(ahead);
     return timeliness(request, begins) == Timeliness::TooLate;
 }
 
@@ -110,7 +110,7 @@
     auto const interval = m_servers.slot_interval(request.service, now);
     auto const milliseconds = [](Core::Duration duration) { return std::to_string(duration.count()); };
     Core::log_event(Core::LogLevel::Info, "no_place_in_time",
-        { { "request", id }, { "in_line", m_queue ? "yes" : "no" }, { "late", m_is_late ? "yes" : "no" }, { "late_waiting", std::to_string(service_queue.late_count) }, { "waiting", std::to_string(service_queue.queue.size()) }, { "late_interval_ms", milliseconds(service_queue.late_slot_interval.gap(now, interval)) }, { "place_interval_ms", milliseconds(interval) }, { "left_ms", milliseconds(request.terms.deadline - now) }, { "service_ms", milliseconds(service_time(request)) } });
+        { { "request", id }, { "in_line", m_queue ? "yes" : "no" }, { "late", m_is_late ? "yes" : "no" }, { "late_waiting", std::to_string(service_queue.late_count) }, { "waiting", std::to_string(service_queue.queue.size()) }, { "late_interval_ms", milliseconds(service_queue.late_slot_interval.expected_interval(now, interval)) }, { "place_interval_ms", milliseconds(interval) }, { "left_ms", milliseconds(request.terms.deadline - now) }, { "service_ms", milliseconds(service_time(request)) } });
 }
 
 }
--- a/Libraries/LibRouting/SlotWait.h
+++ b/Libraries/LibRouting/SlotWait.h
@@ -2,10 +2,10 @@
 #pragma once
 
 #include <LibCore/Time.h>
-#include <LibRouting/AnswerTerms.h>
-#include <LibRouting/LeftoverPace.h>
+#include <LibRouting/AnswerDeadlines.h>
 #include <LibRouting/RequestQueue.h>
 #include <LibRouting/ServerTable.h>
+#include <LibRouting/SpareSlotInterval.h>
 #include <cstddef>
 #include <cstdint>
 #include <functional>
@@ -16,7 +16,7 @@
 namespace Routing {
 
 /// Requests of one service that wait at an entry for a free slot at a backend server. A request is late if its answer can't begin
-/// within the service's objective any more (see AnswerTerms::in_time_until).
+/// within the service's objective any more (see AnswerDeadlines::in_time_until).
 struct ServiceQueue {
     explicit ServiceQueue(size_t limit)
         : queue(limit)
@@ -25,7 +25,7 @@
 
     RequestQueue queue;
     /// Measures how often late requests get a slot.
-    LeftoverPace late_slot_interval;
+    SpareSlotInterval late_slot_interval;
     /// Number of late requests in the queue.
     size_t late_count { 0 };
 };
@@ -54,7 +54,7 @@
     int64_t prompt_tokens { 0 };
     /// Length of the answer that the caller expects.
     int64_t answer_tokens { 0 };
-    AnswerTerms terms;
+    AnswerDeadlines terms;
     /// When the caller last received events; std::nullopt unless this request resumes a stream that broke off.
     std::optional<Core::Time> delivered_at {};
 };
--- a/Services/DirectEntry/BackendAttempt.cpp
+++ b/Services/DirectEntry/BackendAttempt.cpp
@@ -10,13 +10,13 @@
     , m_sent_at(sent.at)
     , m_last_received_at(sent.at)
 {
-    m_silence.on_heard(sent.running);
+    m_silence.on_received(sent.running);
 }
 
 void BackendAttempt::on_bytes_received(Moment now)
 {
     m_last_received_at = now.at;
-    m_silence.on_heard(now.running);
+    m_silence.on_received(now.running);
 }
 
 std::string BackendAttempt::incarnation() const
--- a/Services/DirectEntry/BackendAttempt.h
+++ b/Services/DirectEntry/BackendAttempt.h
@@ -3,8 +3,8 @@
 
 #include <LibCore/Time.h>
 #include <LibPlatform/RequestHeads.h>
-#include <LibRouting/AnswerSilence.h>
-#include <LibRouting/EventStream.h>
+#include <LibRouting/EventStreamSplitter.h>
+#include <LibRouting/ReceiveTimeout.h>
 #include <LibTransport/BackendCall.h>
 #include <cstdint>
 #include <memory>
@@ -49,9 +49,9 @@
     void on_bytes_received(Moment);
     /// Whether nothing was received from the server for `silence_limit`. To be called at most once in each iteration of the event loop:
     /// silence counts from the second call in a row on, as bytes that lay unread at the first have been read by then.
-    bool check_silence(Core::Time running_now, Core::Duration silence_limit) { return m_silence.look(running_now, silence_limit); }
+    bool check_silence(Core::Time running_now, Core::Duration silence_limit) { return m_silence.check_timeout(running_now, silence_limit); }
     /// Running time since bytes were last received.
-    Core::Duration silent_for(Core::Time running_now) const { return m_silence.lasts(running_now); }
+    Core::Duration silent_for(Core::Time running_now) const { return m_silence.elapsed(running_now); }
 
     bool is_connected() const { return m_is_connected; }
     void on_connected(Moment);
@@ -69,13 +69,13 @@
     /// The body received so far, of an answer that is passed on as a whole.
     std::string body;
     /// Splits the body into events, of an answer that is passed on event by event.
-    Routing::EventStream events;
+    Routing::EventStreamSplitter events;
 
 private:
     Target m_target;
     Core::Time m_sent_at;
     Core::Time m_last_received_at;
-    Routing::AnswerSilence m_silence;
+    Routing::ReceiveTimeout m_silence;
     bool m_is_connected { false };
     bool m_has_head { false };
     bool m_has_delivered_event { false };
--- a/Services/DirectEntry/CrashDetector.h
+++ b/Services/DirectEntry/CrashDetector.h
@@ -55,10 +55,10 @@
 
     /// The request is being sent to a server. If it is a suspect, the other entries are notified, as a suspect that runs alone must
     /// run nowhere else.
-    /// @return whether the request is a suspect and runs alone; to be passed to on_send_over().
-    Routing::CrashSend on_sent(std::string const& digest, std::string const& server);
+    /// @return whether the request is a suspect and runs alone; to be passed to on_attempt_over().
+    Routing::CrashRestriction on_sent(std::string const& digest, std::string const& server);
     /// The attempt has ended, whatever its outcome.
-    void on_send_over(std::string const& digest, Routing::CrashSend);
+    void on_attempt_over(std::string const& digest, Routing::CrashRestriction);
 
     /// Sends the current suspects, if any, to an entry that was just linked: it may know none of them.
     void on_entry_linked(std::string const& entry) const;
--- a/Services/DirectEntry/DirectEntry.cpp
+++ b/Services/DirectEntry/DirectEntry.cpp
@@ -61,9 +61,9 @@
     return result;
 }
 
-static Routing::RetryBound retry_bound(Schema::DirectEntrySettings const& settings)
+static Routing::RetryLimit retry_bound(Schema::DirectEntrySettings const& settings)
 {
-    Routing::RetryBound bound;
+    Routing::RetryLimit bound;
     bound.ratio = settings.bounds.retry_ratio;
     bound.window = Core::Duration(static_cast<int64_t>(settings.bounds.retry_window_s * milliseconds_per_second));
     bound.slack = settings.bounds.retry_slack;
@@ -287,7 +287,7 @@
     } else if (message.crash_news) {
         m_crashes.on_crash_news(from.identity, *message.crash_news);
     } else if (message.refusals) {
-        m_returning.on_news(from.identity, *message.refusals, now);
+        m_returning.on_announcement(from.identity, *message.refusals, now);
     } else if (message.ping && message.ping->configuration_end) {
         m_facts.on_peer_log_position(from.identity, *message.ping->configuration_end, message.ping->configuration_version);
     }
--- a/Services/DirectEntry/DirectEntry.h
+++ b/Services/DirectEntry/DirectEntry.h
@@ -138,7 +138,7 @@
     Core::Time m_roles_updated_at { 0 };
     Core::Time m_started_at;
     Routing::ServerTable m_servers;
-    Routing::RetryShare m_retries;
+    Routing::SharedRetryBudget m_retries;
     PeerCapabilities m_capabilities;
     CrashDetector m_crashes;
     // Null if the settings give no metrics port or no link bandwidth, or if there is no origin.
--- a/Services/DirectEntry/ProxiedRequest.cpp
+++ b/Services/DirectEntry/ProxiedRequest.cpp
@@ -10,9 +10,9 @@
 
 namespace DirectEntry {
 
+using Routing::AttemptOutcome;
 using Routing::max_retry_after;
 using Routing::NextStep;
-using Routing::SendEnd;
 using Routing::ServerOutcome;
 
 static constexpr int status_unauthorized = 401;
@@ -84,7 +84,7 @@
 {
     m_first_requested_at = m_started;
     if (m_head.deadline)
-        m_first_requested_at = m_context.returning.first_asked(
+        m_first_requested_at = m_context.returning.first_request_time(
             m_route.name, *m_head.deadline, [this] { return m_suspicion.digest(); }, m_started);
     m_terms.in_time_until = m_first_requested_at + Core::Duration(m_route.objective_ms) - answer_margin;
     m_terms.deadline = deadline();
@@ -221,8 +221,8 @@
         return true;
     auto const now = Core::monotonic_now();
     // The deadline may have passed during a pause of the process; then the next tick refuses the request.
-    bool const has_budget = m_silent_attempts.empty() || m_context.retries.has_left(m_service, now);
-    if (!m_context.are_facts_current() || now >= deadline() || !m_suspicion.may_send() || !has_budget) {
+    bool const has_budget = m_silent_attempts.empty() || m_context.retries.has_remaining(m_service, now);
+    if (!m_context.are_facts_current() || now >= deadline() || !m_suspicion.can_send() || !has_budget) {
         m_no_server = Routing::NoServer::AllFull;
         return false;
     }
@@ -332,7 +332,7 @@
         return;
     auto const now = Core::monotonic_now();
     attempt.on_bytes_received(moment(now));
-    m_context.servers.on_heard(attempt.target().id, now);
+    m_context.servers.on_received(attempt.target().id, now);
     if (m_phase == Phase::Waiting)
         select_attempt(attempt);
     if (is_stream() && is_trusted_success(attempt)) {
@@ -340,7 +340,7 @@
         return;
     }
     if (attempt.body.size() + data.size() > max_buffered_answer_bytes) {
-        end_attempt(attempt, SendEnd::BrokenOff, ServerOutcome::Failure);
+        end_attempt(attempt, AttemptOutcome::BrokenOff, ServerOutcome::Failure);
         return;
     }
     attempt.body.append(data);
@@ -349,8 +349,8 @@
 void ProxiedRequest::pass_events(BackendAttempt& attempt, std::string_view data)
 {
     auto const events = attempt.events.feed(data);
-    if (attempt.events.is_overgrown()) {
-        end_attempt(attempt, SendEnd::BrokenOff, ServerOutcome::Failure);
+    if (attempt.events.is_oversized()) {
+        end_attempt(attempt, AttemptOutcome::BrokenOff, ServerOutcome::Failure);
         return;
     }
     std::string out;
@@ -371,7 +371,7 @@
         deliver(attempt, out);
     if (has_gap && !is_over()) {
         m_context.metrics.count("mountbarrow_event_gaps_total");
-        end_attempt(attempt, SendEnd::BrokenOff, ServerOutcome::Failure);
+        end_attempt(attempt, AttemptOutcome::BrokenOff, ServerOutcome::Failure);
     }
 }
 
@@ -405,13 +405,13 @@
     auto const& answer = attempt.answer_head();
     if (answer.is_not_run) {
         m_server_retry_after = answer.retry_after;
-        end_attempt(attempt, SendEnd::NotRun, answer.status == status_misdirected ? ServerOutcome::Misdirected : ServerOutcome::Full);
+        end_attempt(attempt, AttemptOutcome::NotRun, answer.status == status_misdirected ? ServerOutcome::Misdirected : ServerOutcome::Full);
         return;
     }
     bool const is_other_answer = answer.request_id != m_head.request_id;
     bool const is_false_success = answer.status / 100 == 2 && !answer.is_genuine;
     if (is_other_answer || is_false_success) {
-        end_attempt(attempt, SendEnd::BrokenOff, ServerOutcome::Failure);
+        end_attempt(attempt, AttemptOutcome::BrokenOff, ServerOutcome::Failure);
         return;
     }
     if (answer.status / 100 != 2) {
@@ -458,7 +458,7 @@
         return;
     }
     m_suspicion.on_run_completed();
-    end_attempt(attempt, SendEnd::ServerFailure, ServerOutcome::Failure);
+    end_attempt(attempt, AttemptOutcome::ServerFailure, ServerOutcome::Failure);
 }
 
 void ProxiedRequest::on_failed(BackendAttempt& attempt, Transport::CallFailure failure)
@@ -467,7 +467,7 @@
         return;
     bool const is_unsent = failure == Transport::CallFailure::NotConnected || failure == Transport::CallFailure::Refused;
     if (is_unsent)
-        end_attempt(attempt, SendEnd::NotConnected, ServerOutcome::Unreachable);
+        end_attempt(attempt, AttemptOutcome::NotConnected, ServerOutcome::Unreachable);
     else
         on_broken_off(attempt);
 }
@@ -498,10 +498,10 @@
     }
     if (has_terminated) {
         m_suspicion.on_terminated_while_running(attempt.incarnation());
-        end_attempt(attempt, SendEnd::ServerEnded, ServerOutcome::Unreachable);
+        end_attempt(attempt, AttemptOutcome::ServerTerminated, ServerOutcome::Unreachable);
         return;
     }
-    end_attempt(attempt, SendEnd::BrokenOff, m_context.servers.is_executing_order(attempt.target().id, Core::monotonic_now()) ? ServerOutcome::Neutral : ServerOutcome::Failure);
+    end_attempt(attempt, AttemptOutcome::BrokenOff, m_context.servers.is_executing_order(attempt.target().id, Core::monotonic_now()) ? ServerOutcome::Neutral : ServerOutcome::Failure);
 }
 
 // Attempts at silent servers.
@@ -517,14 +517,14 @@
 {
     if (m_suspicion.standing() != Routing::CrashStanding::Clear) {
         // No two copies run of a request that may terminate its servers.
-        end_attempt(*m_attempt, SendEnd::Silent, ServerOutcome::Unreachable);
+        end_attempt(*m_attempt, AttemptOutcome::Silent, ServerOutcome::Unreachable);
         return;
     }
     m_context.metrics.count("mountbarrow_silent_sends_total");
     Core::log_event(Core::LogLevel::Info, "send_silent",
         { { "request", m_head.request_id }, { "server", m_attempt->target().id }, { "heard_ms_ago", milliseconds(now - m_attempt->last_received_at()) }, { "ran_since_heard_ms", milliseconds(m_attempt->silent_for(m_context.running_time())) }, { "last_event", m_last_event ? std::to_string(*m_last_event) : "" } });
     m_context.servers.on_no_response(m_attempt->target().id, m_head.request_id, now);
-    m_suspicion.on_send_over();
+    m_suspicion.on_attempt_over();
     m_tried_servers[m_attempt->target().id] = m_attempt->target().started_at_ms;
     m_may_have_run = true;
     m_silent_attempts.push_back(std::move(m_attempt));
@@ -579,7 +579,7 @@
 }
 
 /// Ends an attempt at a silent server; the current attempt or wait continues.
-void ProxiedRequest::end_silent_attempt(BackendAttempt& attempt, SendEnd attempt_outcome, ServerOutcome server_outcome)
+void ProxiedRequest::end_silent_attempt(BackendAttempt& attempt, AttemptOutcome attempt_outcome, ServerOutcome server_outcome)
 {
     auto const now = Core::monotonic_now();
     auto const ended = attempt.shared_from_this();
@@ -587,9 +587,9 @@
     std::erase(m_silent_attempts, ended);
     m_context.servers.on_ended(ended->target().id, m_head.request_id, server_outcome, now);
     count_outcome(attempt_outcome);
-    m_context.metrics.count("mountbarrow_sends_ended_total", std::string("reason=\"") + Routing::send_end_name(attempt_outcome) + "\"");
+    m_context.metrics.count("mountbarrow_sends_ended_total", std::string("reason=\"") + Routing::attempt_outcome_name(attempt_outcome) + "\"");
     Core::log_event(Core::LogLevel::Info, "silent_send_ended",
-        { { "request", m_head.request_id }, { "server", ended->target().id }, { "end", Routing::send_end_name(attempt_outcome) }, { "after_ms", milliseconds(now - ended->sent_at()) } });
+        { { "request", m_head.request_id }, { "server", ended->target().id }, { "end", Routing::attempt_outcome_name(attempt_outcome) }, { "after_ms", milliseconds(now - ended->sent_at()) } });
 }
 
 /// The parts that the digest covers: they identify what a server runs. The request id is not among them, and the key only if the
@@ -606,7 +606,7 @@
 
 void ProxiedRequest::report_server_outcome(ServerOutcome server_outcome, Core::Time now)
 {
-    m_suspicion.on_send_over();
+    m_suspicion.on_attempt_over();
     m_context.servers.on_ended(m_attempt->target().id, m_head.request_id, server_outcome, now);
 }
 
@@ -617,27 +617,27 @@
     state.is_resumable = m_route.is_resumable;
     state.has_delivered = m_has_delivered;
     state.may_have_run = m_may_have_run;
-    state.sends = m_counted_attempts;
+    state.attempts = m_counted_attempts;
     state.max_attempts = m_route.max_attempts;
-    state.misses = m_unrun_attempts;
-    state.ended_servers = m_terminated_servers;
-    state.has_budget = m_context.retries.has_left(m_service, now);
+    state.attempts_not_run = m_unrun_attempts;
+    state.terminated_servers = m_terminated_servers;
+    state.has_budget = m_context.retries.has_remaining(m_service, now);
     state.remaining = deadline() - now;
     return state;
 }
 
 /// Attempts that ran nothing, or whose server terminated, do not count against the route's limit of attempts.
-void ProxiedRequest::count_outcome(SendEnd attempt_outcome)
+void ProxiedRequest::count_outcome(AttemptOutcome attempt_outcome)
 {
-    if (attempt_outcome == SendEnd::NotConnected || attempt_outcome == SendEnd::NotRun)
+    if (attempt_outcome == AttemptOutcome::NotConnected || attempt_outcome == AttemptOutcome::NotRun)
         m_unrun_attempts += 1;
-    if (attempt_outcome == SendEnd::NotRun || attempt_outcome == SendEnd::ServerEnded)
+    if (attempt_outcome == AttemptOutcome::NotRun || attempt_outcome == AttemptOutcome::ServerTerminated)
         m_counted_attempts -= 1;
-    if (attempt_outcome == SendEnd::ServerEnded)
+    if (attempt_outcome == AttemptOutcome::ServerTerminated)
         m_terminated_servers += 1;
 }
 
-void ProxiedRequest::end_attempt(BackendAttempt& attempt, SendEnd attempt_outcome, ServerOutcome server_outcome)
+void ProxiedRequest::end_attempt(BackendAttempt& attempt, AttemptOutcome attempt_outcome, ServerOutcome server_outcome)
 {
     if (!is_current(attempt)) {
         end_silent_attempt(attempt, attempt_outcome, server_outcome);
@@ -651,28 +651,28 @@
     // A server that was only full may have a free slot when the request is sent again.
     if (server_outcome != ServerOutcome::Full)
         m_tried_servers[m_attempt->target().id] = m_attempt->target().started_at_ms;
-    bool const was_not_run = attempt_outcome == SendEnd::NotConnected || attempt_outcome == SendEnd::NotRun;
+    bool const was_not_run = attempt_outcome == AttemptOutcome::NotConnected || attempt_outcome == AttemptOutcome::NotRun;
     count_outcome(attempt_outcome);
     auto const step = Routing::next_step(attempt_outcome, attempt_state(now));
     if (!was_not_run)
         m_may_have_run = true;
-    m_context.metrics.count("mountbarrow_sends_ended_total", std::string("reason=\"") + Routing::send_end_name(attempt_outcome) + "\"");
+    m_context.metrics.count("mountbarrow_sends_ended_total", std::string("reason=\"") + Routing::attempt_outcome_name(attempt_outcome) + "\"");
     Core::log_event(Core::LogLevel::Info, "send_ended",
-        { { "request", m_head.request_id }, { "server", m_attempt->target().id }, { "end", Routing::send_end_name(attempt_outcome) }, { "status", std::to_string(m_attempt->has_head() ? m_attempt->answer_head().status : 0) }, { "after_ms", milliseconds(now - m_attempt->sent_at()) }, { "heard_ms_ago", milliseconds(now - m_attempt->last_received_at()) }, { "ran_since_heard_ms", milliseconds(m_attempt->silent_for(m_context.running_time())) }, { "has_budget", m_context.retries.has_left(m_service, now) ? "yes" : "no" }, { "next", std::to_string(static_cast<int>(step)) }, { "last_event", m_last_event ? std::to_string(*m_last_event) : "" } });
+        { { "request", m_head.request_id }, { "server", m_attempt->target().id }, { "end", Routing::attempt_outcome_name(attempt_outcome) }, { "status", std::to_string(m_attempt->has_head() ? m_attempt->answer_head().status : 0) }, { "after_ms", milliseconds(now - m_attempt->sent_at()) }, { "heard_ms_ago", milliseconds(now - m_attempt->last_received_at()) }, { "ran_since_heard_ms", milliseconds(m_attempt->silent_for(m_context.running_time())) }, { "has_budget", m_context.retries.has_remaining(m_service, now) ? "yes" : "no" }, { "next", std::to_string(static_cast<int>(step)) }, { "last_event", m_last_event ? std::to_string(*m_last_event) : "" } });
     take_step(step, attempt_outcome);
 }
 
-void ProxiedRequest::take_step(NextStep step, SendEnd attempt_outcome)
+void ProxiedRequest::take_step(NextStep step, AttemptOutcome attempt_outcome)
 {
-    bool const is_sent_again = step == NextStep::SendAgain || step == NextStep::Resume;
-    bool const has_answer = step == NextStep::PassFailure;
+    bool const is_sent_again = step == NextStep::RetryFromStart || step == NextStep::Resume;
+    bool const has_answer = step == NextStep::ForwardFailure;
     if (!is_sent_again && !has_answer && return_to_silent_attempt())
         return;
     switch (step) {
-    case NextStep::SendAgain:
+    case NextStep::RetryFromStart:
     case NextStep::Resume:
         // An attempt that never connected reached no server, so its repetition spends no retry budget.
-        if (!m_silent_attempts.empty() || attempt_outcome == SendEnd::NotConnected || m_context.retries.try_spend(m_service, Core::monotonic_now())) {
+        if (!m_silent_attempts.empty() || attempt_outcome == AttemptOutcome::NotConnected || m_context.retries.try_spend(m_service, Core::monotonic_now())) {
             send_again();
             return;
         }
@@ -683,7 +683,7 @@
         else
             refuse_not_run();
         return;
-    case NextStep::PassFailure:
+    case NextStep::ForwardFailure:
         if (promises_not_run(m_attempt->answer_head().status))
             refuse(status_bad_gateway, Refusal::OutcomeUnknown, {});
         else
@@ -692,10 +692,10 @@
     case NextStep::RefuseNotRun:
         refuse_not_run();
         return;
-    case NextStep::AnswerUnknown:
-        refuse(attempt_outcome == SendEnd::Silent || attempt_outcome == SendEnd::Outdated ? status_gateway_timeout : status_bad_gateway, Refusal::OutcomeUnknown, {});
+    case NextStep::ReportUnknown:
+        refuse(attempt_outcome == AttemptOutcome::Silent || attempt_outcome == AttemptOutcome::Outdated ? status_gateway_timeout : status_bad_gateway, Refusal::OutcomeUnknown, {});
         return;
-    case NextStep::BreakOff:
+    case NextStep::AbortAnswer:
         abort_answer(Refusal::BrokenOff);
         return;
     }
@@ -739,7 +739,7 @@
     if (m_phase == Phase::CheckingServer)
         return;
     if (m_phase == Phase::Sent && is_outdated(*m_attempt, now)) {
-        end_attempt(*m_attempt, SendEnd::Outdated, ServerOutcome::Neutral);
+        end_attempt(*m_attempt, AttemptOutcome::Outdated, ServerOutcome::Neutral);
         return;
     }
     auto const objective = m_has_delivered ? m_route.objective_gap_ms : m_route.objective_ms;
@@ -764,7 +764,7 @@
     auto const attempts = m_silent_attempts;
     for (auto const& attempt : attempts) {
         if (is_outdated(*attempt, now))
-            end_silent_attempt(*attempt, SendEnd::Outdated, ServerOutcome::Neutral);
+            end_silent_attempt(*attempt, AttemptOutcome::Outdated, ServerOutcome::Neutral);
     }
 }
 
--- a/Services/DirectEntry/ProxiedRequest.h
+++ b/Services/DirectEntry/ProxiedRequest.h
@@ -5,7 +5,7 @@
 #include "RequestContext.h"
 #include "RequestSuspicion.h"
 #include <LibPlatform/RequestHeads.h>
-#include <LibRouting/AnswerTerms.h>
+#include <LibRouting/AnswerDeadlines.h>
 #include <LibRouting/AttemptPolicy.h>
 #include <LibTransport/IngressServer.h>
 #include <map>
@@ -103,20 +103,20 @@
     /// Makes the last silent attempt the current one again. @return false if there is none with an open call.
     bool return_to_silent_attempt();
     void end_silent_attempts();
-    void end_silent_attempt(BackendAttempt&, Routing::SendEnd, Routing::ServerOutcome);
+    void end_silent_attempt(BackendAttempt&, Routing::AttemptOutcome, Routing::ServerOutcome);
     void end_outdated_silent_attempts(Core::Time now);
 
     /// Updates the counters of attempts.
-    void count_outcome(Routing::SendEnd);
+    void count_outcome(Routing::AttemptOutcome);
     /// Ends the attempt and takes the next step: another attempt, a refusal, or an aborted answer.
-    void end_attempt(BackendAttempt&, Routing::SendEnd, Routing::ServerOutcome);
+    void end_attempt(BackendAttempt&, Routing::AttemptOutcome, Routing::ServerOutcome);
     /// Frees the slot of the current attempt and records how the server did.
     void report_server_outcome(Routing::ServerOutcome, Core::Time now);
     bool is_at_server() const { return m_phase == Phase::Sent || m_phase == Phase::CheckingServer; }
     Routing::RequestContent content() const;
     bool refuse_if_blamed();
     Routing::AttemptState attempt_state(Core::Time now) const;
-    void take_step(Routing::NextStep, Routing::SendEnd);
+    void take_step(Routing::NextStep, Routing::AttemptOutcome);
     void refuse_not_run();
     void send_again();
 
@@ -165,7 +165,7 @@
     std::optional<Core::Duration> m_server_retry_after;
     // When the caller first sent this request, also to another entry that refused it, as far as is known.
     Core::Time m_first_requested_at { 0 };
-    Routing::AnswerTerms m_terms;
+    Routing::AnswerDeadlines m_terms;
     Routing::SlotWait m_wait;
     // Why no backend server could be chosen last.
     Routing::NoServer m_no_server { Routing::NoServer::NoneUsable };
--- a/Services/DirectEntry/RequestContext.h
+++ b/Services/DirectEntry/RequestContext.h
@@ -6,10 +6,10 @@
 #include <LibCore/EventLoop.h>
 #include <LibCore/Metrics.h>
 #include <LibPlatform/RequestHeads.h>
-#include <LibRouting/RetryShare.h>
 #include <LibRouting/ReturningCallers.h>
 #include <LibRouting/RouteTable.h>
 #include <LibRouting/ServerTable.h>
+#include <LibRouting/SharedRetryBudget.h>
 #include <LibRouting/SlotWait.h>
 #include <functional>
 #include <map>
@@ -27,7 +27,7 @@
     /// The backend servers and their load, for the choice of a server.
     Routing::ServerTable& servers;
     /// The retry budget of each service.
-    Routing::RetryShare& retries;
+    Routing::SharedRetryBudget& retries;
     CrashDetector& crashes;
     std::mt19937_64& random;
     Routing::WaitingPolicy waiting_policy;
--- a/Services/DirectEntry/RequestSuspicion.cpp
+++ b/Services/DirectEntry/RequestSuspicion.cpp
@@ -5,7 +5,7 @@
 
 namespace DirectEntry {
 
-using Routing::CrashSend;
+using Routing::CrashRestriction;
 using Routing::CrashStanding;
 
 RequestSuspicion::RequestSuspicion(CrashDetector& crashes, std::function<Routing::RequestContent()> content)
@@ -26,18 +26,18 @@
     return has_suspects() ? m_crashes.suspects().standing(digest(), Core::monotonic_now()) : CrashStanding::Clear;
 }
 
-bool RequestSuspicion::may_send()
+bool RequestSuspicion::can_send()
 {
-    return !has_suspects() || m_crashes.suspects().may_send(digest(), Core::monotonic_now());
+    return !has_suspects() || m_crashes.suspects().can_send(digest(), Core::monotonic_now());
 }
 
 void RequestSuspicion::add_to(Routing::ServerRequirements& needs)
 {
     if (!has_suspects())
         return;
-    using Among = Routing::CrashSuspects::Among;
+    using RunFilter = Routing::CrashSuspects::RunFilter;
     auto const standing = this->standing();
-    auto const among = standing == CrashStanding::RunsAlone ? Among::AllRuns : Among::LoneRuns;
+    auto const among = standing == CrashStanding::RunsAlone ? RunFilter::AllRuns : RunFilter::AloneRuns;
     auto servers = m_crashes.suspects().servers_with_suspects(among, Core::monotonic_now());
     (standing == CrashStanding::Clear ? needs.avoided : needs.temporarily_unavailable) = std::move(servers);
     needs.prefers_idle_servers = standing == CrashStanding::RunsAlone;
@@ -45,19 +45,19 @@
 
 void RequestSuspicion::on_sent(std::string const& server)
 {
-    m_sent = has_suspects() ? m_crashes.on_sent(digest(), server) : CrashSend::Free;
+    m_sent = has_suspects() ? m_crashes.on_sent(digest(), server) : CrashRestriction::Free;
 }
 
-void RequestSuspicion::on_send_over()
+void RequestSuspicion::on_attempt_over()
 {
-    auto const sent = std::exchange(m_sent, CrashSend::Free);
-    if (sent != CrashSend::Free)
-        m_crashes.on_send_over(digest(), sent);
+    auto const sent = std::exchange(m_sent, CrashRestriction::Free);
+    if (sent != CrashRestriction::Free)
+        m_crashes.on_attempt_over(digest(), sent);
 }
 
 void RequestSuspicion::on_terminated_while_running(std::string const& incarnation)
 {
-    m_crashes.on_terminated_while_running(incarnation, { digest(), m_sent == CrashSend::Alone });
+    m_crashes.on_terminated_while_running(incarnation, { digest(), m_sent == CrashRestriction::Alone });
 }
 
 void RequestSuspicion::on_run_completed()
--- a/Services/DirectEntry/RequestSuspicion.h
+++ b/Services/DirectEntry/RequestSuspicion.h
@@ -24,7 +24,7 @@
     /// Whether the request is clear, suspected, must run alone, or is blamed (refused, as servers kept terminating while they ran it).
     Routing::CrashStanding standing();
     /// Whether a copy of the request may be sent from this entry now. A suspect is sent one copy at a time.
-    bool may_send();
+    bool can_send();
     /// Adds the servers to avoid or exclude: a clear request avoids servers that run a suspect alone, a suspect is not sent to them,
     /// and one that must run alone is not sent to any server that runs a suspect, and prefers an idle one.
     void add_to(Routing::ServerRequirements&);
@@ -32,7 +32,7 @@
     /// The request is being sent to this server.
     void on_sent(std::string const& server);
     /// The current attempt has ended, whatever its outcome.
-    void on_send_over();
+    void on_attempt_over();
     /// The server of the current attempt terminated while it ran the request.
     void on_terminated_while_running(std::string const& incarnation);
     /// The request ran to completion: it is no suspect any more.
@@ -44,7 +44,7 @@
     CrashDetector& m_crashes;
     std::function<Routing::RequestContent()> m_content;
     std::optional<std::string> m_digest;
-    Routing::CrashSend m_sent { Routing::CrashSend::Free };
+    Routing::CrashRestriction m_sent { Routing::CrashRestriction::Free };
 };
 
 }
--- a/Tests/LibRouting/TestRequestFlow.cpp
+++ b/Tests/LibRouting/TestRequestFlow.cpp
@@ -12,11 +12,11 @@
 
 namespace {
 
-/// A backend world around one flow: what each attempt really did, and what the flow has told its caller.
+/// Records what a flow has sent to its caller.
 struct Caller {
     size_t finals { 0 };
     std::string received;
-    std::optional<GiveUp> given_up;
+    std::optional<AnswerWithError> error_answer;
     bool is_whole { false };
     bool is_broken_off { false };
 
@@ -26,20 +26,21 @@
             if (auto const* deliver = std::get_if<Deliver>(&action)) {
                 RC_ASSERT(finals == 0u);
                 received += deliver->part.data;
-            } else if (std::holds_alternative<FinishAnswer>(action)) {
+            } else if (std::holds_alternative<EndAnswer>(action)) {
                 finals += 1;
                 is_whole = true;
-            } else if (std::holds_alternative<BreakOff>(action)) {
+            } else if (std::holds_alternative<AbortAnswer>(action)) {
                 finals += 1;
                 is_broken_off = true;
-            } else if (auto const* give_up = std::get_if<GiveUp>(&action)) {
+            } else if (auto const* error_action = std::get_if<AnswerWithError>(&action)) {
                 finals += 1;
-                given_up = *give_up;
+                error_answer = *error_action;
             }
         }
     }
 };
 
+/// What an attempt really did at its instance.
 struct Attempt {
     std::string id;
     std::string instance;
@@ -56,7 +57,7 @@
 
 }
 
-RC_GTEST_PROP(RequestFlow, ExactlyOneFinalAnswerAndNoSecondRunOfWhatMayNotRepeat, (uint64_t seed))
+RC_GTEST_PROP(RequestFlow, ExactlyOneFinalAnswerAndNoSecondRunOfANonRepeatableRequest, (uint64_t seed))
 {
     std::mt19937_64 random(seed);
     auto const repeatability = random() % 2 == 0 ? Repeatability::Once : Repeatability::Repeatable;
@@ -85,7 +86,7 @@
                 handle(flow.on_not_dispatched(instance));
             } else {
                 for (auto const& earlier : attempts) {
-                    // What may not repeat is dispatched again only if no earlier attempt has run or ever can.
+                    // A request that is not repeatable is dispatched again only if no earlier attempt has run or can still run.
                     if (repeatability == Repeatability::Once)
                         RC_ASSERT(earlier.is_refused);
                 }
@@ -107,7 +108,7 @@
         }
         if (attempts.empty())
             continue;
-        // Any attempt may still speak, also one that was abandoned long ago.
+        // Messages may arrive for any attempt, also for one that was abandoned long ago.
         auto& attempt = attempts[random() % attempts.size()];
         switch (random() % 8) {
         case 0:
@@ -155,11 +156,11 @@
         RC_ASSERT(is_one_attempts);
     }
     RC_ASSERT(caller.is_broken_off == (!caller.received.empty() && !caller.is_whole));
-    if (caller.given_up) {
-        RC_ASSERT(caller.given_up->retry_after.count() > 0);
+    if (caller.error_answer) {
+        RC_ASSERT(caller.error_answer->retry_after.count() > 0);
         bool const has_run = std::any_of(attempts.begin(), attempts.end(), [](auto const& attempt) { return attempt.has_run; });
         if (has_run)
-            RC_ASSERT(caller.given_up->outcome != Schema::Outcome::NotRun);
+            RC_ASSERT(caller.error_answer->outcome != Schema::Outcome::NotRun);
     }
 }
 
@@ -178,19 +179,19 @@
     EXPECT_EQ(std::get<SendResume>(actions[0]).next_sequence, 1);
 }
 
-TEST(RequestFlow, ARequestGivenUpOnIsAnsweredAtOnceAndSaysWhenToComeBack)
+TEST(RequestFlow, AFailedRequestIsAnsweredAtOnceWithARetryAfterTime)
 {
     RetryBudget budget(0);
     RequestFlow flow(Repeatability::Once, Core::Time(10000), {}, budget);
     flow.start();
     flow.on_dispatched("i", 7, "a", Core::Time(0));
     auto const actions = flow.on_broken("a", Schema::Reason::BackendBrokeOff);
-    auto const give_up = std::get<GiveUp>(actions.back());
-    EXPECT_EQ(give_up.outcome, Schema::Outcome::Unknown);
-    EXPECT_GT(give_up.retry_after.count(), 0);
+    auto const error_action = std::get<AnswerWithError>(actions.back());
+    EXPECT_EQ(error_action.outcome, Schema::Outcome::Unknown);
+    EXPECT_GT(error_action.retry_after.count(), 0);
 }
 
-// Recorded traces: one JSON line a step, replayed against the outcome that its last line states.
+// Replays recorded traces, with one JSON object per line for each event, and checks the outcomes stated by their `expect` events.
 
 namespace {
 
@@ -204,14 +205,14 @@
         for (auto const& action : actions) {
             if (std::holds_alternative<NeedInstance>(action))
                 last_action = "need_instance";
-            else if (std::holds_alternative<FinishAnswer>(action))
+            else if (std::holds_alternative<EndAnswer>(action))
                 last_action = "answered";
-            else if (std::holds_alternative<BreakOff>(action))
+            else if (std::holds_alternative<AbortAnswer>(action))
                 last_action = "broken_off";
             else if (std::holds_alternative<SendResume>(action))
                 last_action = "resume";
-            else if (auto const* give_up = std::get_if<GiveUp>(&action))
-                last_action = Schema::enumerator_name(give_up->outcome) + " " + Schema::enumerator_name(give_up->reason);
+            else if (auto const* error_action = std::get_if<AnswerWithError>(&action))
+                last_action = Schema::enumerator_name(error_action->outcome) + " " + Schema::enumerator_name(error_action->reason);
         }
     };
     for (std::string line; std::getline(file, line);) {
