--- a/Tests/StandIns/FakePlatform/FakePlatform.cpp
+++ b/Tests/StandIns/FakePlatform/FakePlatform.cpp
@@ -102,7 +102,7 @@
         exchange->reply(503, {}, {});
         return;
     }
-    if (!m_append_rate.take(1, Core::monotonic_now())) {
+    if (!m_append_rate.try_acquire(1, Core::monotonic_now())) {
         exchange->reply(429, {}, {});
         return;
     }
