--- a/Libraries/LibPlatform/AskedPeers.cpp
+++ b/Libraries/LibPlatform/AskedPeers.cpp
@@ -7,18 +7,19 @@
 
 using Configuration::FactTopic;
 
-// A configuration of a thousand routes takes an entry a second to read: each further answer costs as much again.
+// An entry needs a second to decode a configuration of a thousand routes, and each further answer costs the same again.
 static constexpr size_t asked_at_once = 3;
-// The operator's records have the shortest bound, so the log may be away from the whole region: one far is asked at once.
+// The operator's records have the shortest deadline, and the log may be unreachable from the whole region. So one instance of another
+// region is asked right away.
 static constexpr size_t most_near_for_configuration = asked_at_once - 1;
-// One list that is late is made up for by those near; after this many nobody near may be able to read it.
+// A single late list is made up for by the instances of this region; after this many failures none of them may be able to read it.
 static constexpr int failures_of_a_region = 3;
-// An instance that is behind for this long has a read that hangs; before, its own read is about to bring what others have.
+// An instance that is behind for this long has a read that hangs. Before that, its own read is about to return what the others have.
 static constexpr Core::Duration behind_patience { 400 };
-// By then those near would have been asked, had they read further.
+// By then the instances of this region have been asked, if any of them had read further.
 static constexpr Core::Duration behind_patience_far { 1500 };
 
-/// Adds identities in turn, until there are so many.
+/// Appends identities in turn, starting at `next`, until `to` holds `most` of them.
 static void add_in_turn(std::vector<std::string> const& from, size_t& next, size_t most, std::vector<std::string>& to)
 {
     for (size_t i = 0; i < from.size() && to.size() < most; ++i)
--- a/Libraries/LibPlatform/AskedPeers.h
+++ b/Libraries/LibPlatform/AskedPeers.h
@@ -9,34 +9,37 @@
 
 namespace Platform {
 
-/// Where another instance is.
+/// Where another instance is, relative to this one.
 enum class Distance {
     /// In the same region.
     Near,
-    /// In another region, or nobody knows where.
+    /// In another region, or in an unknown one.
     Far,
 };
 
+/// Another instance that this one has a link to.
 struct Peer {
     std::string identity;
     Distance distance { Distance::Far };
 };
 
-/// Decides which other instances are asked for what this one could not read from the platform's log.
+/// Selects the other instances from which this one requests the facts that it could not read from the platform's log.
 ///
-/// An answer carries the routing configuration, which for a thousand routes is a third of a megabyte. Reads of the log that
-/// fail because the link between two regions is full fail for longer where such answers come over the same link. So those
-/// near are asked first, and those far where nobody near is likely to know more.
+/// An answer carries the routing configuration, which for a thousand routes is a third of a megabyte. When reads of the log fail because
+/// the connection between two regions is saturated, such answers over the same connection prolong the failure. So instances of the same
+/// region are asked first, and those of other regions when no instance of this region is likely to have newer facts.
 class AskedPeers {
 public:
-    /// A read of a topic failed once more. @return whom to ask now.
+    /// Records one more failed read of a topic. Returns the identities of the peers to request the facts from now: at most three, taken
+    /// from the given ones in turn.
     std::vector<std::string> on_failing(Configuration::FactTopic, std::vector<Peer> const&);
+    /// Records that the log answered a read of the topic.
     void on_regained(Configuration::FactTopic topic) { m_failures.erase(topic); }
 
-    /// Whether one that was linked just now is asked.
+    /// Whether to request facts from an instance to which a link was just set up.
     bool may_ask_linked(Distance) const;
 
-    /// Whether one that has read further is asked, where this instance has been behind for so long.
+    /// Whether to request facts from an instance that has read further in the log, when this instance has been behind it for `behind_for`.
     static bool may_ask_ahead(Distance, Core::Duration behind_for);
 
 private:
@@ -44,7 +47,7 @@
 
     // Failed reads in a row.
     std::map<Configuration::FactTopic, int> m_failures;
-    // Whose turn is next.
+    // Index of the next peer to ask, counted without wrapping.
     size_t m_next_near { 0 };
     size_t m_next_far { 0 };
 };
--- a/Libraries/LibPlatform/BadRecords.h
+++ b/Libraries/LibPlatform/BadRecords.h
@@ -9,22 +9,24 @@
 
 namespace Platform {
 
-/// Tells of records that cannot be read: counts each, and logs the first of each key and reason, as one that is written
-/// again each second would fill the log.
+/// Reports records of the platform's log that cannot be decoded. Counts each one in a metric, and logs only the first one of each key and
+/// reason: a bad record that is written again each second would fill the log.
 class BadRecords {
 public:
-    /// Keys with reasons that are remembered, and so lines that are written in a process's life. Keys have 255 bytes at most,
-    /// so this takes 400 KiB at most, for twice as many servers as the largest fleets list.
+    /// Largest number of pairs of key and reason that are remembered, and so of lines logged during the life of a process. Keys have
+    /// at most 255 bytes, so this takes at most 400 KiB. It is twice the number of servers that the largest fleets list.
     static constexpr size_t most_remembered = 1024;
 
     explicit BadRecords(Core::Metrics&);
 
+    /// Counts the record, and logs it if it is the first of its key and reason.
     void note(BadRecord const&);
 
+    /// Number of pairs of key and reason that were logged.
     size_t remembered() const { return m_told.size(); }
 
 private:
-    /// Whether this is the first of its key and reason, and a line is due.
+    /// Returns true if the record is the first of its key and reason, so that it must be logged.
     bool remember(BadRecord const&);
 
     Core::Metrics& m_metrics;
--- a/Libraries/LibPlatform/BlameRecords.h
+++ b/Libraries/LibPlatform/BlameRecords.h
@@ -9,7 +9,8 @@
 
 namespace Platform {
 
-/// What the product itself keeps on the platform of requests that are blamed for ending servers: one record a request.
+/// Interface to the records that this system stores on the platform about blamed requests (refused because backend servers kept
+/// terminating while they ran them): one record per request. Callbacks run later, from the event loop.
 class BlameRecords {
 public:
     virtual ~BlameRecords() = default;
@@ -23,8 +24,9 @@
     /// Reads all records.
     virtual void read(ReadPatience, ReadCallback) = 0;
 
-    /// Called back with false where that may not have been done.
+    /// Writes a record. The callback gets false if the record may not have been written.
     virtual void write(Schema::KeptBlame const&, std::function<void(bool)>) = 0;
+    /// Removes the records of requests with these digests. The callback gets false if they may not have been removed.
     virtual void forget(std::vector<std::string> const& digests, std::function<void(bool)>) = 0;
 };
 
--- a/Libraries/LibPlatform/EngineApi.h
+++ b/Libraries/LibPlatform/EngineApi.h
@@ -11,60 +11,64 @@
 
 namespace Platform {
 
-/// What an engine reports of itself.
+/// The state that an engine reports.
 struct EngineReport {
+    /// Weights that the engine holds.
     std::vector<Schema::HeldLayers> held;
-    /// Start of the engine's incarnation, milliseconds of the Unix clock; nothing if the engine does not say.
+    /// Start of the engine's incarnation in Unix milliseconds; std::nullopt if the engine does not report it.
     std::optional<int64_t> started_at_ms {};
-    /// An order is under way.
+    /// Whether the engine is carrying out an order to load weights.
     bool is_busy { false };
-    /// Orders taken since the engine's start; nothing if the engine does not say.
+    /// Number of orders that the engine accepted since its start; std::nullopt if the engine does not report it.
     std::optional<int64_t> order_sequence;
+    /// Number of requests that run on the engine.
     int64_t running { 0 };
+    /// Number of requests that wait in the engine's queue.
     int64_t waiting { 0 };
-    /// Above 1: slow.
+    /// Slowdown factor: 1 at normal speed, above 1 if the engine is slow.
     double pace { 1 };
-    /// Paths of the fields that could not be read.
+    /// Paths of the report's fields that could not be decoded.
     std::vector<std::string> unreadable_fields;
 };
 
-/// What an order does with requests that run on the engine.
+/// What happens to the requests that run on the engine when it is ordered to load weights.
 enum class LoadManner {
-    /// The engine takes nothing new and loads when they have ended.
+    /// The engine accepts no new requests and loads once the running ones have ended.
     WaitForRunning,
-    /// They are cut; streams that may be resumed go on elsewhere.
+    /// The engine aborts them; streams that may be resumed continue on another backend server.
     EvictRunning,
 };
 
-/// What became of an order.
+/// How an order to load weights ended.
 enum class OrderOutcome {
-    /// It began, or is done already.
+    /// The engine has started to load, or has already loaded.
     Taken,
-    /// It does not fit the engine's state.
+    /// The engine refused the order because it does not fit the engine's state.
     Refused,
-    /// No answer: it may have been taken.
+    /// No answer; the engine may have accepted the order.
     Unknown,
 };
 
-/// The engine beside this process.
+/// Interface to the engine that runs beside this process. Callbacks run later, from the event loop.
 class EngineApi {
 public:
     virtual ~EngineApi() = default;
 
+    /// Reads the engine's state; the callback gets an error if the engine did not answer or the answer could not be decoded.
     virtual void read_report(std::function<void(Core::ErrorOr<EngineReport>)>) = 0;
 
-    /// Has the engine load what is staged for a model.
-    /// `expected_sequence`: the orders that the engine must have taken before; nothing if that is unknown.
+    /// Orders the engine to load the staged weights of a model.
+    /// `expected_sequence`: number of orders that the engine must have accepted before this one; std::nullopt if that is unknown.
     virtual void start(std::string const& model, int64_t version, LoadManner, std::optional<int64_t> expected_sequence, std::function<void(OrderOutcome)>) = 0;
 
-    /// Lays a chunk beside the engine.
+    /// Stores a chunk in the engine's staging area, from which start() loads. The callback gets whether it was stored.
     virtual void stage(std::string const& model, size_t chunk, std::string const& bytes, std::function<void(bool)>) = 0;
 
-    /// Reads a staged chunk back; nothing if there is none.
+    /// Reads a staged chunk back; the callback gets null if there is none.
     virtual void read_staged(std::string const& model, size_t chunk, std::function<void(std::shared_ptr<std::string const>)>) = 0;
 };
 
-/// The digests of a version's chunks, in order.
+/// The digests of the chunks of one version of a model's weights, in order.
 struct Manifest {
     std::string model;
     int64_t version { 0 };
@@ -72,16 +76,16 @@
     std::vector<std::string> digests;
 };
 
-/// The service that has the weights.
+/// Interface to the service from which the weights come at first. Callbacks run later, from the event loop.
 class WeightOrigin {
 public:
     virtual ~WeightOrigin() = default;
 
-    /// `address`: IP:PORT.
+    /// Reads the manifest of a version. `address`: IP:PORT of the origin.
     virtual void read_manifest(std::string const& address, std::string const& model, int64_t version, std::function<void(Core::ErrorOr<Manifest>)>) = 0;
-    /// Returns a number to cancel by.
+    /// Reads one chunk of a version. Returns the number to pass to cancel().
     virtual uint64_t read_chunk(std::string const& address, std::string const& model, int64_t version, size_t chunk, std::function<void(Core::ErrorOr<std::string>)>) = 0;
-    /// Ends a read of a chunk without calling back, so that the origin sends no more of what nobody waits for.
+    /// Cancels a read of a chunk without calling its callback, so that the origin stops sending data that is no longer needed.
     virtual void cancel(uint64_t) = 0;
 };
 
--- a/Libraries/LibPlatform/FactFollower.cpp
+++ b/Libraries/LibPlatform/FactFollower.cpp
@@ -7,8 +7,8 @@
 namespace Platform {
 
 static constexpr int most_retry_doublings = 8;
-// One connection can die, and the call after it be turned away; past that the log is away from here, for all or for this
-// instance alone, which then hears of what was written from its peers.
+// One connection can die and the next call can be refused. With one more failure the log counts as unreachable, for everyone or for this
+// instance alone; in the second case this instance receives new records from its peers.
 static constexpr int failures_of_an_outage = 3;
 
 FactFollower::FactFollower(Core::EventLoop& loop, Core::PauseWatch const& pauses, FactLog& log, Configuration::FactReplica& replica, FactFollowerSettings settings, Callbacks callbacks)
@@ -83,7 +83,7 @@
         return;
     for (auto* topic : { &m_configuration, &m_servers }) {
         topic->is_reading = false;
-        // One that does not wait is answered at once, whatever there is.
+        // After a failure reads do not wait for a record, so the log answers at once.
         topic->failures = std::max(topic->failures, 1);
         topic->blind_since = topic->blind_since.value_or(topic->read_began_at);
         read(*topic);
@@ -113,8 +113,8 @@
         on_failed(topic, page.error());
 }
 
-/// The newest record of a key may hold an older version, where its write was carried out late. Who lived through it knows the newer
-/// one; a process that starts finds it in the history, before anything is in force here.
+/// The newest record of a key may name an older version if its write was delayed. Processes that were running then know the newer version.
+/// A process that starts finds it in the history, which it reads before it applies anything.
 void FactFollower::read_history(Topic& topic, FactPage const& listing)
 {
     topic.is_reading = true;
@@ -147,7 +147,7 @@
     m_callbacks.failing(topic.topic, fault);
 }
 
-/// The facts of a page of the list, among them the servers whose records could not be read.
+/// Returns the facts of a page of the list of backend servers, with an Unreadable fact for each record that could not be decoded.
 static std::vector<Configuration::Fact> with_unreadable_servers(FactPage const& page)
 {
     auto facts = page.facts;
@@ -164,7 +164,7 @@
     auto const lost_for = now - topic.current_at;
     topic.failures = 0;
     topic.blind_since.reset();
-    // What the next part brings may be as old as what this one brought.
+    // The records of the next page may be as old as those of this one.
     if (page.end < page.log_end)
         topic.blind_since = read.written_after;
     topic.has_been_read = true;
@@ -175,7 +175,7 @@
         m_callbacks.regained(topic.topic, lost_for);
     for (auto const& bad : page.bad)
         m_callbacks.bad_record(bad);
-    // Of the operator's records what was in force stays in force, so these are no facts.
+    // Bad records of the operator leave the previous value in force, so no fact is made of them.
     bool const has_unreadable_servers = topic.topic == Configuration::FactTopic::BackendServers && !page.bad.empty();
     auto const extended = has_unreadable_servers ? with_unreadable_servers(page) : std::vector<Configuration::Fact> {};
     auto const& facts = has_unreadable_servers ? extended : page.facts;
@@ -192,17 +192,17 @@
 {
     if (!topic.has_been_read)
         return {};
-    // A read that was answered with nothing, amid a pause that hid what came next, says nothing either.
+    // If the process was paused during a read, its empty answer does not prove that nothing was written until now.
     auto const last_read = topic.is_reading ? topic.read_began_at : now;
     return std::min(topic.blind_since.value_or(last_read), m_pauses.earliest_arrival(topic.read_before_began_at, now));
 }
 
 Core::Duration FactFollower::retry_wait(Topic const& topic, FactLogFault fault) const
 {
-    // One silent or broken connection says nothing of the log: a new one is tried at once.
+    // A single unanswered or broken connection does not mean that the log is down: retry at once on a new one.
     if (topic.failures == 0 && fault == FactLogFault::Unavailable)
         return Core::Duration(0);
-    // Each try is paid for, also one that is turned away.
+    // Each call to the log is charged, even one that it refuses.
     auto const doublings = std::min(topic.failures, most_retry_doublings);
     return std::min(m_settings.longest_retry_interval, m_settings.retry_interval * (1 << doublings));
 }
--- a/Libraries/LibPlatform/FactFollower.h
+++ b/Libraries/LibPlatform/FactFollower.h
@@ -10,88 +10,98 @@
 
 namespace Platform {
 
+/// Intervals and timeouts of a FactFollower, in milliseconds.
 struct FactFollowerSettings {
-    /// Longest time that one read of the configuration waits for a record.
+    /// Longest time for which the log delays its answer to a read of the configuration until a record arrives.
     Core::Duration configuration_wait { 3000 };
-    /// Time between two reads of the list of backend servers: each heartbeat is a record, so waiting for one is dear.
+    /// Time between two reads of the list of backend servers. The list is polled because each heartbeat is a record: a read that waits
+    /// for one would be answered, and paid for, all the time.
     Core::Duration servers_interval { 800 };
-    /// Least time between two reads of the list where something speaks against what was read.
+    /// Shortest time between two reads of the list when a backend server was found to differ from it.
     Core::Duration doubted_interval { 400 };
-    /// How long an answer may be on its way. The log answers within a few milliseconds; this is found to be lost.
+    /// Timeout of an answer. The log answers within a few milliseconds, so an answer that takes this long is treated as lost.
     Core::Duration answer_patience { 600 };
-    /// The same, where reads before were given up: a log that is only slow is heard in the end.
+    /// Timeout of an answer after more than one failed read in a row, so that a log that is only slow can still be read.
     Core::Duration longest_answer_patience { 1200 };
-    /// Time before a new try when the log turns a call away; it doubles with each failed try, up to the longest.
+    /// Time before a read is retried, after the log refused it or after repeated failures. It doubles with each failure up to
+    /// `longest_retry_interval`.
     Core::Duration retry_interval { 150 };
     Core::Duration longest_retry_interval { 600 };
 };
 
-/// Keeps a replica of the facts as new as the platform's log, and says when the log does not answer.
+/// Keeps a replica of the facts (the configuration, the versions that the operator named, and the list of backend servers) up to date
+/// with the platform's log, and reports when the log does not answer.
 ///
-/// A connection can fall silent without a word, so a read that waits may be dead. What that costs is bounded in two ways:
-/// a read is given up soon enough for the next one to be answered within the time that the platform allows, and until one
-/// is answered the next ones wait for nothing. What is found after such a read counts as written when that read began, and
-/// what is found after a pause of this process as written when the pause began.
+/// A connection can die without an error, so a read that waits for a record may never be answered. Two rules limit the delay: a read times
+/// out early enough for the next one to be answered within the deadline that the platform sets, and after a failed read the next reads
+/// do not wait for a record until one of them is answered. A record found after a failed read is treated as written when that read began,
+/// and a record found after a pause of this process (stopped or suspended by the host) as written when the pause began.
 class FactFollower {
 public:
     struct Callbacks {
+        /// Records that were read have changed the replica.
         std::function<void(Configuration::FactChanges const&)> changed;
-        /// The log did not answer, or turned the call away: peers may know more. Called at each failed try.
+        /// The log did not answer a read, or refused it; peers may have newer facts. Called at each failed read.
         std::function<void(Configuration::FactTopic, FactLogFault)> failing;
-        /// The log answers again, this long after it last did.
+        /// The log answers again after failed reads; the duration is the time since the topic was last known to be current.
         std::function<void(Configuration::FactTopic, Core::Duration)> regained;
+        /// A record could not be decoded.
         std::function<void(BadRecord const&)> bad_record;
     };
 
     FactFollower(Core::EventLoop&, Core::PauseWatch const&, FactLog&, Configuration::FactReplica&, FactFollowerSettings, Callbacks);
 
+    /// Starts to read both topics. No effect if it is running.
     void start();
-    /// Makes no more calls until it is started again.
+    /// Stops reading; no callback is called until start() is called again.
     void stop();
     bool is_running() const { return m_is_running; }
 
-    /// The process woke from a pause: what is being read may be dead, or old, so all is read anew at once.
+    /// Call this when the process resumes after a pause. Reads both topics again at once and ignores the answers to reads in flight, whose
+    /// connections may be dead or whose answers may be outdated.
     void read_anew();
 
-    /// A peer's facts that were read from the log `age` ago were taken over.
+    /// Call this when facts from a peer were applied to the replica; the peer read them from the log `age` ago.
     void on_peer_facts(Core::Duration age);
 
-    /// A backend server was found to be another than the list says: the list is read again soon.
+    /// Call this when a backend server was found to be another incarnation than the one listed. Moves the next read of the list forward,
+    /// but reads it at most once per `doubted_interval`.
     void on_servers_doubted();
 
-    /// The operator's records that are not known here by now were written after this; nothing before the first read.
+    /// Any record of the operator that is not in the replica by now was written after the returned time. Returns std::nullopt before the
+    /// first read.
     std::optional<Core::Time> configuration_complete_at(Core::Time now) const { return written_after(m_configuration, now); }
 
-    /// Time since the older of both topics was known to be current.
+    /// Time since both topics were known to be current: that of the topic that is further behind.
     Core::Duration age(Core::Time now) const;
 
-    /// When both topics were last read from the log itself.
+    /// Time by which both topics had been read from the log itself (not from a peer): the earlier of the two last reads.
     Core::Time read_at() const { return std::min(m_configuration.read_at, m_servers.read_at); }
 
-    /// Time since the operator's records were known to be current, whatever is known of the backend servers.
+    /// Time since the operator's records were known to be current, regardless of the list of backend servers.
     Core::Duration configuration_age(Core::Time now) const { return now - m_configuration.current_at; }
 
 private:
     struct Topic {
         Configuration::FactTopic topic;
-        // What was replaced before this process began was looked through.
+        // The replaced records from before the start of this process were read, or that read failed.
         bool has_read_history { false };
-        // Nothing was read yet, or what should be read next is gone.
+        // Nothing was read yet, or the log no longer stores the next records: the newest record of each key must be read.
         bool needs_listing { true };
         bool is_reading { false };
-        // Of the read under way; the answer to an earlier one is passed over.
+        // Number of the latest read; answers to earlier reads are ignored.
         uint64_t read_number { 0 };
         bool has_been_read { false };
         Core::Time current_at { 0 };
         Core::Time read_at { 0 };
         Core::Time read_began_at { 0 };
         Core::Time read_before_began_at { 0 };
-        // Tries in a row that brought no answer.
+        // Failed reads in a row.
         int failures { 0 };
-        // When a read began that was not answered: a record may have been written since. The first of them, or the last
-        // once so many failed that it is the log that is away: what is read after that was written when it was back.
+        // Start of a read that failed; a record may have been written since. Of several failed reads in a row this is the first. Once so
+        // many have failed that the log itself must be down, it is the last one: nothing can be written until the log is back.
         std::optional<Core::Time> blind_since;
-        // The next read was moved forward.
+        // The next read was moved forward because a backend server differs from the list.
         bool is_hurried { false };
         std::unique_ptr<Core::Timer> timer;
     };
--- a/Libraries/LibPlatform/FactLog.h
+++ b/Libraries/LibPlatform/FactLog.h
@@ -10,56 +10,59 @@
 
 namespace Platform {
 
-/// Why a read of the platform's log brought nothing.
+/// Why a read of the platform's log failed.
 enum class FactLogFault {
-    /// No answer, or one that is no answer.
+    /// No answer arrived in time, or the answer could not be understood.
     Unavailable,
-    /// The platform turned the call away.
+    /// The platform refused the call.
     Refused,
-    /// The records asked for are no longer kept: read the newest of each key.
+    /// The log no longer stores the requested records; read the newest record of each key instead.
     HistoryGone,
 };
 
-/// A record that could not be read. Of the operator's, what was in force stays in force; of a backend server's, no new work
-/// goes to the server until a record of it can be read.
+/// A record of the log that could not be decoded. If it is a record of the operator, the previous value stays in force. If it is the
+/// record of a backend server, the server gets no new requests until a record of it can be decoded.
 struct BadRecord {
     std::string key;
     int64_t revision { 0 };
     Core::Error error;
 };
 
+/// The answer to one read of the log: the decoded records, and those that could not be decoded.
+/// Facts are the configuration, the versions that the operator named, and the list of backend servers.
 struct FactPage {
     std::vector<Configuration::Fact> facts;
     std::vector<BadRecord> bad;
-    /// Offset behind the last record of the page.
+    /// Offset that follows the last record of the page; the next read starts there.
     int64_t end { 0 };
-    /// Offset behind the last record that the log held then: where that is more, the page is a part of what there is.
+    /// Offset that followed the last record of the log at the time of the read. If it is greater than `end`, more pages follow.
     int64_t log_end { 0 };
 };
 
-/// How long a read may take.
+/// How long a read of the log may take, in milliseconds.
 struct ReadPatience {
-    /// How long the log may hold the answer back for want of a record.
+    /// Longest time that the log may delay its answer until a record arrives (long polling). 0: it answers at once.
     Core::Duration wait { 0 };
-    /// What the way there and back may take beside that; past it the connection is taken to be dead.
+    /// Time allowed for the round trip in addition to `wait`. After both, the connection is treated as dead.
     Core::Duration answer { 0 };
 };
 
-/// The platform's log of what the operator and the backend servers say. Answers come later, on the loop.
+/// Interface to the platform's log, in which the operator and the backend servers write their records.
+/// Callbacks run later, from the event loop.
 class FactLog {
 public:
     virtual ~FactLog() = default;
 
     using Callback = std::function<void(tl::expected<FactPage, FactLogFault>)>;
 
-    /// Reads the records from an offset on.
+    /// Reads the records of a topic from an offset on. Waits up to `ReadPatience::wait` if there is none yet.
     virtual void read(Configuration::FactTopic, int64_t from, ReadPatience, Callback) = 0;
 
-    /// Reads the newest record of every key, at once.
+    /// Reads the newest record of each key of a topic, without waiting for new ones.
     virtual void read_newest(Configuration::FactTopic, ReadPatience, Callback) = 0;
 
-    /// Reads records before an offset that later ones of the same keys have replaced: the last ones, as far as they are kept and are
-    /// not too large together. A log that keeps no history brings none.
+    /// Reads records before the offset `end` that later records of the same keys have replaced. Returns the most recent of them, as far
+    /// as the log still stores them and their total size is limited. The default is for a log without history: an empty page.
     virtual void read_history(Configuration::FactTopic, int64_t /*end*/, ReadPatience, Callback callback)
     {
         auto const answer = std::move(callback);
--- a/Libraries/LibPlatform/HttpPlatform.cpp
+++ b/Libraries/LibPlatform/HttpPlatform.cpp
@@ -26,7 +26,7 @@
     return request;
 }
 
-/// The body of an answer as a schema type.
+/// Decodes the body of an answer as a schema type; PlatformUnavailable if there is no answer or its status is not 200.
 template<typename T>
 static Core::ErrorOr<T> decode(tl::expected<Transport::HttpAnswer, Transport::HttpFailure> const& answer)
 {
--- a/Libraries/LibPlatform/HttpPlatform.h
+++ b/Libraries/LibPlatform/HttpPlatform.h
@@ -6,7 +6,7 @@
 
 namespace Platform {
 
-/// The platform over its HTTP interface: `/log` and `/instances`.
+/// Accesses the platform over its HTTP interface: `/log` and `/instances`.
 class HttpPlatform final : public Platform {
 public:
     HttpPlatform(Core::EventLoop&, std::string address, uint16_t port);
--- a/Libraries/LibPlatform/KeptBlames.cpp
+++ b/Libraries/LibPlatform/KeptBlames.cpp
@@ -11,14 +11,14 @@
 static constexpr Core::Duration retry_interval { 300 };
 static constexpr Core::Duration longest_retry_interval { 2400 };
 static constexpr int most_doublings = 3;
-// Ends of servers come in groups, and each read is paid for.
+// Backend servers terminate in groups, and each read is charged.
 static constexpr Core::Duration least_read_interval { 2000 };
 static constexpr Core::Duration turn_interval { 500 };
-// Longer than any stand-in waits: whose turn it is not by then, it never will be.
+// Longer than any fallback writer waits: an entry that is not responsible for a record by then never will be.
 static constexpr Core::Duration others_write_within { 6000 };
-// As long as entries remember them themselves.
+// Entries keep blames in memory for the same time.
 static constexpr Core::Duration kept_for { std::chrono::hours(24) };
-// What a writer that is none of ours may add; the newest count.
+// Limits what a foreign writer may add to the store; the newest blames are used.
 static constexpr size_t most_kept = 256;
 
 KeptBlames::KeptBlames(Core::EventLoop& loop, std::unique_ptr<BlameRecords> records, std::string identity, Core::Metrics& metrics, Callbacks callbacks)
@@ -65,7 +65,7 @@
     auto const now = Core::wall_now();
     for (size_t i = 0; i < blames.size(); ++i) {
         auto const& blame = blames[i];
-        // A time to come was told by a wrong clock.
+        // A time in the future comes from a wrong clock.
         auto const age = std::max(Core::Duration(0), now - Core::WallTime(blame.blamed_at_ms));
         if (i >= most_kept || age >= kept_for) {
             outlived.push_back(blame.digest);
@@ -151,7 +151,7 @@
         return;
     m_records->forget(digests, [this, digests](bool is_done) {
         m_metrics.count("mountbarrow_blame_records_total", std::string("outcome=\"") + (is_done ? "dropped" : "failed") + "\"");
-        // One that stays behind is over in a day, and is tried again within it.
+        // A record that could not be removed expires within a day, and each later read tries again to remove it.
         Core::log_event(is_done ? Core::LogLevel::Info : Core::LogLevel::Warn, "blames_dropped", { { "count", std::to_string(digests.size()) }, { "outcome", is_done ? "written" : "failed" } });
     });
 }
--- a/Libraries/LibPlatform/KeptBlames.h
+++ b/Libraries/LibPlatform/KeptBlames.h
@@ -13,32 +13,33 @@
 
 namespace Platform {
 
-/// Remembers which requests are blamed for ending servers past the end of all processes, and for entries that no other entry
-/// reaches.
+/// Stores on the platform which requests are blamed, that is, refused because backend servers kept terminating while they ran them. The
+/// records outlive all processes and also reach entries that have no link to another entry.
 ///
-/// Blames are rare, so they are read when an entry starts and when it meets the end of a server, and not followed: an entry that
-/// has heard nothing of a blame sends such a request once.
+/// Blames are rare, so an entry does not poll for them. It reads them when it starts and when it sees that a backend server terminated; an
+/// entry that has not received a blame sends such a request once.
 class KeptBlames {
 public:
     struct Callbacks {
+        /// A stored blame was read.
         std::function<void(Schema::CrashSuspect const&)> read;
-        /// The other entries that are linked.
+        /// Returns the identities of the other entries that this one has links to.
         std::function<std::vector<std::string>()> entries;
     };
 
-    /// `records`: null where the platform keeps none.
+    /// `records`: null if the platform cannot store such records. `identity`: this entry.
     KeptBlames(Core::EventLoop&, std::unique_ptr<BlameRecords>, std::string identity, Core::Metrics&, Callbacks);
 
-    /// Reads what is kept, until that is answered.
+    /// Reads the stored blames, with retries until a read is answered. No effect while a read is in flight.
     void read();
-    /// The same, but not again soon after the last time.
+    /// Like read(), but without effect if the last read began less than 2 s ago.
     void read_soon();
 
-    /// The request is blamed: where it falls to this entry, that is written down.
+    /// Stores the blame of a request if this entry is responsible for it. No effect if the request is only suspected or the blame is stored.
     void keep(Schema::CrashSuspect const&);
-    /// Takes a blame back, here and in the store.
+    /// Removes the blame of a request, here and from the store.
     void forget(std::string const& digest);
-    /// Another entry has taken it back.
+    /// Removes the blame here only, after another entry removed it from the store.
     void on_forgotten(std::string const& digest);
 
 private:
--- a/Libraries/LibPlatform/KeptVersions.cpp
+++ b/Libraries/LibPlatform/KeptVersions.cpp
@@ -7,16 +7,16 @@
 
 namespace Platform {
 
-// The store answers within a few milliseconds, and nothing is served before this is known or given up.
+// The store answers within a few milliseconds, and the entry serves nothing before this read is answered or has timed out.
 static constexpr Core::Duration read_patience { 600 };
-// The same, where a read before was given up: a link may be full.
+// Timeout after a failed read, as a network path may be saturated.
 static constexpr Core::Duration longest_read_patience { 1200 };
 static constexpr Core::Duration retry_interval { 300 };
 static constexpr Core::Duration longest_retry_interval { 2400 };
 static constexpr int most_doublings = 3;
-// Who is linked changes seldom; an entry whose turn it was may be gone.
+// The set of linked entries seldom changes, but an entry that was responsible for a record may have terminated.
 static constexpr Core::Duration turn_interval { 500 };
-// Older ones are over for long.
+// The deadlines of older versions have long passed.
 static constexpr size_t kept_of_a_model = 16;
 
 KeptVersions::KeptVersions(Core::EventLoop& loop, std::unique_ptr<VersionRecords> records, std::string identity, Configuration::FactReplica const& facts, Core::Metrics& metrics, Callbacks callbacks)
@@ -73,7 +73,7 @@
     std::vector<Configuration::KnownVersion> known;
     for (auto const& each : page.versions) {
         m_kept.emplace(each.model, each.version);
-        // A record that claims a time before the epoch, or one to come, has lost its clock.
+        // A time before the epoch or in the future comes from a wrong clock.
         auto const known_at = std::clamp(Core::Time(each.known_at_ms), Core::Time(0), wall_now);
         auto const age = wall_now - known_at;
         known.push_back({ each.model, each.version, now - age });
@@ -106,7 +106,7 @@
     }
 }
 
-/// What is kept of a model beyond the newest ones.
+/// Returns the stored versions of a model that must be removed so that, with one more, only the newest ones are stored.
 std::vector<Schema::ModelVersion> KeptVersions::outlived(std::string const& model) const
 {
     std::vector<Schema::ModelVersion> versions;
--- a/Libraries/LibPlatform/KeptVersions.h
+++ b/Libraries/LibPlatform/KeptVersions.h
@@ -15,31 +15,33 @@
 
 namespace Platform {
 
-/// Remembers which versions were named, and by when, past the end of all processes.
+/// Stores on the platform which versions the operator named in the log, and when each became known, so that this outlives all processes.
 ///
-/// The newest record of an operator's key may name an older version: a write whose answer was lost may be carried out after a
-/// newer one. A process that lives knows better, one that starts does not. So two of the linked entries write down each version
-/// that they come to know, and an entry that starts reads that before anything else: it knows the newest version, and
-/// whether its bound is over.
+/// The newest record of an operator's key may name an older version: a write whose answer was lost may be carried out after a newer one.
+/// A process that was running at the time knows the newer version, but one that starts does not. So two of the linked entries store each
+/// version that they learn of, and an entry that starts reads these records first. It then knows the newest version, and whether the
+/// deadline by which that version must be served has passed.
 class KeptVersions {
 public:
     struct Callbacks {
+        /// The stored versions were read.
         std::function<void(std::vector<Configuration::KnownVersion> const&)> read;
-        /// The other entries that are linked.
+        /// Returns the identities of the other entries that this one has links to.
         std::function<std::vector<std::string>()> entries;
+        /// A stored record could not be decoded.
         std::function<void(BadRecord const&)> bad_record;
     };
 
-    /// `records`: null where the platform keeps none.
+    /// `records`: null if the platform cannot store such records. `identity`: this entry.
     KeptVersions(Core::EventLoop&, std::unique_ptr<VersionRecords>, std::string identity, Configuration::FactReplica const&, Core::Metrics&, Callbacks);
 
-    /// Reads what was kept, until that is answered. `then` is called after the first try, whatever came of it.
+    /// Reads the stored versions, with retries until a read is answered. Calls `then` once, after the first read, even if it failed.
     void start(std::function<void()> then);
 
-    /// Whether all that was kept before this process is known. Until then a version without a date may be an old one.
+    /// Whether the versions stored before the start of this process are known. Until then a version without a date may be an old one.
     bool is_read() const { return m_is_read; }
 
-    /// Writes down what is not kept yet and falls to this entry.
+    /// Stores the versions that are not stored yet and that this entry is responsible for, one after another.
     void keep_new();
 
 private:
--- a/Libraries/LibPlatform/Platform.h
+++ b/Libraries/LibPlatform/Platform.h
@@ -9,21 +9,22 @@
 
 namespace Platform {
 
-/// What the system needs of the platform. Another protocol for it is one more class beside HttpPlatform.
-/// Every answer comes later, on the loop; PlatformUnavailable says that nothing is known of the call's effect.
+/// Interface to the platform. HttpPlatform implements it; another protocol needs another implementation.
+/// Callbacks run later, from the event loop. The error PlatformUnavailable means that the effect of the call is unknown.
 class Platform {
 public:
     virtual ~Platform() = default;
 
     using LogCallback = std::function<void(Core::ErrorOr<Configuration::LogBatch>)>;
-    /// Reads records from an offset on, as many as the platform gives at once.
+    /// Reads records of the log from an offset on, as many as the platform returns in one answer.
     virtual void read_log(int64_t from, LogCallback) = 0;
 
     using AppendCallback = std::function<void(Core::ErrorOr<int64_t>)>;
+    /// Appends a record to the log; the callback gets its offset.
     virtual void append(std::string body, AppendCallback) = 0;
 
     using ListCallback = std::function<void(Core::ErrorOr<Schema::Members>)>;
-    /// The list of instances; its version is that of `known` if nothing changed.
+    /// Reads the list of instances. `known`: version of the list that is known; the answer has the same version if nothing changed.
     virtual void read_list(int64_t known, ListCallback) = 0;
 };
 
--- a/Libraries/LibPlatform/RequestHeads.h
+++ b/Libraries/LibPlatform/RequestHeads.h
@@ -8,67 +8,69 @@
 
 namespace Platform {
 
-/// What a caller's head says, in the product's words.
+/// The decoded head of a caller's HTTP request, independent of the platform's field names.
 struct CallerHead {
     std::string request_id;
     std::string host;
     /// Path without the query.
     std::string path;
-    /// How long the caller will wait.
+    /// How long the caller waits for the answer; std::nullopt if it sets no limit.
     std::optional<Core::Duration> deadline;
     std::optional<std::string> key;
-    /// The last event of a stream that the caller already has.
+    /// Id of the last event of a stream that the caller already received, if it resumes a stream.
     std::optional<int64_t> last_event;
     int64_t prompt_tokens { 0 };
-    /// The most that may be generated.
+    /// Largest number of tokens that may be generated.
     int64_t answer_tokens { 0 };
-    /// The caller's guess of what will be generated; 0 if it gave none.
+    /// The caller's estimate of the number of tokens that will be generated; 0 if it gave none.
     int64_t answer_tokens_hint { 0 };
 };
 
-/// What the system itself says in the head that goes to a backend server.
+/// The values that this system adds to the head of a request to a backend server.
 struct BackendTerms {
-    /// Incarnation that the call is meant for; another one refuses it.
+    /// Incarnation of the backend server that the request is meant for; another incarnation refuses it.
     std::string server_id;
     std::optional<std::string> customer;
-    /// What is left of the caller's time.
+    /// The caller's remaining wait time.
     Core::Duration remaining { 0 };
     std::optional<int64_t> expected_version;
     std::optional<int64_t> last_event;
-    /// 0 to 9, 0 first.
+    /// Priority from 0 (first) to 9 (last).
     std::optional<int> urgency;
 };
 
-/// What a backend server's head says.
+/// The decoded head of a backend server's answer.
 struct BackendHead {
     int status { 0 };
-    /// The backend server says that it did not run the request.
+    /// Whether the backend server states that it did not run the request.
     bool is_not_run { false };
-    /// It bears the backend server's own mark, and no encoding that nobody asked for.
+    /// Whether the answer carries the header that marks it as a backend server's own, and no content encoding that was not requested.
     bool is_genuine { false };
     std::string request_id;
     std::optional<Core::Duration> retry_after;
     std::optional<int64_t> version;
-    /// The head of the answer as it goes to the caller, without what concerns one connection only.
+    /// The header fields to forward to the caller, without those that concern only one connection (hop-by-hop).
     Transport::HttpHeaders headers;
 };
 
-/// How a request's head and an answer's head are read and written.
+/// Interface that reads and writes the heads of requests and answers with the platform's field names.
 class RequestHeads {
 public:
     virtual ~RequestHeads() = default;
 
+    /// Decodes the head of a caller's request.
     virtual CallerHead read_caller(Transport::MessageHead const&) const = 0;
 
-    /// The whole request, as it goes out.
+    /// Returns the whole request, head and body, as it is sent to the backend server.
     virtual std::string write_request(Transport::MessageHead const& caller, std::string const& body, BackendTerms const&) const = 0;
 
+    /// Decodes the head of a backend server's answer.
     virtual BackendHead read_backend(Transport::MessageHead const&) const = 0;
 
-    /// The fields of an answer of the system's own.
+    /// Returns the header fields of an answer that this system generates itself.
     virtual Transport::HttpHeaders own_answer(std::string const& request_id, std::optional<Core::Duration> retry_after) const = 0;
 
-    /// The id of an event, and the version it names, out of the event's text.
+    /// Returns the id in the text of a stream's event; std::nullopt if it has none.
     virtual std::optional<int64_t> event_id(std::string_view event) const = 0;
 };
 
--- a/Libraries/LibPlatform/VersionRecords.h
+++ b/Libraries/LibPlatform/VersionRecords.h
@@ -8,8 +8,8 @@
 
 namespace Platform {
 
-/// What the product itself keeps on the platform of the versions that were named: one record a version, so that a record that
-/// is written late, or twice, takes nothing back.
+/// Interface to the records that this system stores on the platform about the versions that the operator named in the log. There is one
+/// record per version, so that a record that is written late or twice undoes nothing. Callbacks run later, from the event loop.
 class VersionRecords {
 public:
     virtual ~VersionRecords() = default;
@@ -23,7 +23,7 @@
     /// Reads all records.
     virtual void read(ReadPatience, ReadCallback) = 0;
 
-    /// Writes a record and removes others, all or nothing. Called back with false where that may not have been done.
+    /// Writes a record and removes the `forgotten` ones in one transaction. The callback gets false if that may not have been done.
     virtual void write(Schema::KeptVersion const&, std::vector<Schema::ModelVersion> const& forgotten, std::function<void(bool)>) = 0;
 };
 
--- a/Libraries/LibPlatform/WriterTurns.h
+++ b/Libraries/LibPlatform/WriterTurns.h
@@ -7,11 +7,12 @@
 
 namespace Platform {
 
-/// Whether it falls to an entry to write a record that several know: two of those that are linked do at once, as one may end
-/// before its write is taken, and each write is paid for. Three more stand in for them one after another, as the store may turn both
-/// away, and who else is served cannot be told.
+/// Returns whether an entry should write a record that several entries know. Each write is charged, so only the first two entries in the
+/// rendezvous order of `key` write it at once; they are two because one may terminate before its write is accepted. The three entries that
+/// follow are fallbacks, which write it one after another 1.5 s apart if they still have to: the store may refuse both writers, and an
+/// entry cannot know which others the store serves.
 ///
-/// `others`: the other entries that are linked. `known_for`: time since this entry knows what is to be written.
+/// `identity`: this entry. `others`: the other entries that this one has links to. `known_for`: time since this entry knows the record.
 bool is_turn_to_write(std::string const& key, std::string const& identity, std::vector<std::string> others, Core::Duration known_for);
 
 }
