--- a/Tests/LibPlatform/TestFactFollower.cpp
+++ b/Tests/LibPlatform/TestFactFollower.cpp
@@ -8,7 +8,7 @@
 
 namespace {
 
-/// A log that turns every call away, and counts them.
+/// A log that refuses every call, and counts the calls.
 class RefusingLog final : public FactLog {
 public:
     void read(Configuration::FactTopic, int64_t, ReadPatience, Callback callback) override { refuse(callback); }
@@ -24,7 +24,7 @@
     }
 };
 
-/// A log that answers with nothing new, and counts the reads of the list.
+/// A log that has no new records, and counts the reads of the list of backend servers.
 class QuietLog final : public FactLog {
 public:
     void read(Configuration::FactTopic topic, int64_t, ReadPatience, Callback callback) override { answer(topic, callback); }
@@ -35,7 +35,7 @@
 private:
     void answer(Configuration::FactTopic topic, Callback const& callback)
     {
-        // A read of the configuration stays open.
+        // A read of the configuration is never answered.
         if (topic == Configuration::FactTopic::Configuration)
             return;
         list_reads += 1;
@@ -79,7 +79,7 @@
     follower.start();
     auto const end = loop.after(Core::Duration(400), [&] { loop.stop(); });
     loop.run();
-    // Of two topics, each after 0, 10, 30, 70, 150, 230, 310 and 390 ms at the soonest.
+    // Reads of two topics, each at 0, 10, 30, 70, 150, 230, 310 and 390 ms at the earliest.
     EXPECT_LE(log.calls, 16);
     EXPECT_GE(log.calls, 2);
     EXPECT_EQ(told, log.calls);
@@ -87,7 +87,7 @@
 
 namespace {
 
-/// A log that answers when the test says so.
+/// A log whose reads the test answers explicitly.
 class HeldLog final : public FactLog {
 public:
     struct Read {
@@ -99,7 +99,7 @@
     void read(Configuration::FactTopic topic, int64_t, ReadPatience patience, Callback callback) override { reads.push_back({ topic, patience, std::move(callback) }); }
     void read_newest(Configuration::FactTopic topic, ReadPatience patience, Callback callback) override { reads.push_back({ topic, patience, std::move(callback) }); }
 
-    /// The open read of the operator's records.
+    /// Removes and returns the read of the operator's records that is in flight.
     Read take_configuration_read()
     {
         auto const found = std::find_if(reads.begin(), reads.end(), [](auto const& read) { return read.topic == Configuration::FactTopic::Configuration; });
@@ -116,7 +116,7 @@
     std::vector<Read> reads;
 };
 
-/// A follower of a held log, and what it told.
+/// A follower of a HeldLog whose first read is answered, with a count of its callbacks.
 class HeldFollower {
 public:
     HeldFollower()
@@ -125,7 +125,7 @@
         m_log.take_configuration_read().callback(FactPage {});
     }
 
-    /// The next read of the operator's records.
+    /// Runs the event loop until the operator's records are read, and returns that read.
     HeldLog::Read next_read()
     {
         m_poll = m_loop.every(Core::Duration(1), [this] {
@@ -174,7 +174,7 @@
     follower.next_read().callback(HeldFollower::naming(2, 0));
     EXPECT_TRUE(follower.newest().named);
     EXPECT_LE(*follower.newest().named, begun_by);
-    // Reads follow the log without a gap again.
+    // Two answered reads close the gap.
     follower.next_read().callback(FactPage {});
     follower.next_read().callback(FactPage {});
     auto const followed_from = Core::monotonic_now();
@@ -281,11 +281,11 @@
     follower.read_anew();
     ASSERT_TRUE(follower.log().has_configuration_read());
     auto const anew = follower.log().take_configuration_read();
-    EXPECT_EQ(anew.patience.wait.count(), 0) << "it is answered at once";
+    EXPECT_EQ(anew.patience.wait.count(), 0) << "a read after a pause must not wait for a record";
     before.callback(HeldFollower::naming(2, 0));
     anew.callback(HeldFollower::naming(3, 1));
     EXPECT_EQ(follower.newest().version, 3);
-    EXPECT_EQ(follower.newest().named.has_value() ? follower.newest().named.value() <= begun_by : true, true) << "it may have been named in the pause";
+    EXPECT_EQ(follower.newest().named.has_value() ? follower.newest().named.value() <= begun_by : true, true) << "the version may have been named during the pause";
 }
 
 TEST(FactFollower, TheHistoryIsReadOnceAtTheStartBeforeAnythingIsInForce)
--- a/Tests/LibPlatform/TestKeptBlames.cpp
+++ b/Tests/LibPlatform/TestKeptBlames.cpp
@@ -55,7 +55,7 @@
     SharedBlames& m_shared;
 };
 
-/// An entry, as far as blames go.
+/// The part of an entry that handles blames.
 struct Process {
     Process(Core::EventLoop& loop, SharedBlames& shared, std::string const& identity, std::vector<std::string> const& linked)
         : kept(loop, std::make_unique<BlamesOfOne>(shared), identity, metrics,
@@ -141,7 +141,7 @@
     EXPECT_EQ(shared.reads, 2);
     process.kept.read_soon();
     process.kept.read_soon();
-    EXPECT_EQ(shared.reads, 2) << "it was read just now";
+    EXPECT_EQ(shared.reads, 2) << "the last read was less than 2 s ago";
 }
 
 TEST(KeptBlames, WhatIsOldOrTooManyIsDropped)
@@ -169,5 +169,5 @@
     process.kept.forget("d");
     EXPECT_TRUE(shared.records.empty());
     process.kept.keep(blamed("d"));
-    EXPECT_EQ(shared.records.size(), 1u) << "it may be blamed again";
+    EXPECT_EQ(shared.records.size(), 1u) << "a request whose blame was removed may be blamed again";
 }
--- a/Tests/LibPlatform/TestKeptVersions.cpp
+++ b/Tests/LibPlatform/TestKeptVersions.cpp
@@ -9,12 +9,12 @@
 
 namespace {
 
-/// Records that outlive the processes of a test. A write is carried out at once, and answered or not.
+/// Records that outlive the processes of a test. A write is carried out at once, or refused.
 class SharedRecords {
 public:
     std::map<std::pair<std::string, int64_t>, Schema::KeptVersion> records;
     bool is_away { false };
-    /// Those whose writes are turned away, while the others are served.
+    /// Identities of the entries whose writes are refused; other entries are served.
     std::set<std::string> refused;
     int reads { 0 };
     int writes { 0 };
@@ -58,7 +58,7 @@
     std::string m_identity;
 };
 
-/// An entry, as far as versions go.
+/// The part of an entry that handles versions.
 struct Process {
     Process(Core::EventLoop& loop, SharedRecords& shared, std::string const& identity, std::vector<std::string> const& linked)
         : kept(loop, std::make_unique<RecordsOfOne>(shared, identity), identity, facts, metrics,
@@ -86,7 +86,7 @@
     int64_t m_revision { 0 };
 };
 
-/// Entries that are all linked to each other.
+/// Starts entries that all have links to each other.
 std::vector<std::unique_ptr<Process>> start_linked(Core::EventLoop& loop, SharedRecords& shared, std::vector<std::string> const& all)
 {
     std::vector<std::unique_ptr<Process>> processes;
@@ -149,7 +149,7 @@
     EXPECT_TRUE(process.is_started);
     EXPECT_FALSE(process.kept.is_read());
     process.learn(4);
-    EXPECT_EQ(shared.writes, 0) << "what is not read may be there already";
+    EXPECT_EQ(shared.writes, 0) << "nothing is written before the stored versions are read, as the version may already be stored";
     shared.is_away = false;
     run_for(loop, Core::Duration(1200));
     EXPECT_TRUE(process.kept.is_read());
@@ -201,7 +201,7 @@
     }
     Process second(loop, shared, "b", {});
     second.learn(2);
-    // Long after the start, as far as the time goes in which a version without a date is let off, and long before the bound.
+    // The time after which a version without a date must be served has passed since the start, but the deadline is far off.
     auto const soon = Core::monotonic_now() + Core::Duration(3000);
     EXPECT_EQ(second.facts.versions().at("m").newest_of(soon - Core::Duration(6500), soon - Core::Duration(2500)), 0);
 }
@@ -214,14 +214,14 @@
     running.learn(2);
     auto const before = Core::monotonic_now();
     run_for(loop, Core::Duration(10));
-    // Written down by another, an hour behind, just as this one read it.
+    // Another entry, whose clock is an hour behind, stores the version just as this entry reads it from the log.
     running.learn(3);
     shared.records[{ "m", 3 }] = { .known_at_ms = (Core::wall_now() - Core::Duration(3600000)).count(), .model = "m", .version = 3 };
     Process started(loop, shared, "b", {});
     started.learn(3);
     auto const now = Core::monotonic_now();
     running.facts.on_peer(started.facts.facts_since({}, Core::Duration(0), now), { now, now });
-    // This one had read on without it until just now.
+    // This entry read the log without that version until just now.
     EXPECT_GE(running.facts.versions().at("m").find(3)->known, before);
     EXPECT_EQ(running.facts.versions().at("m").newest_of(before - Core::Duration(1000), Core::Time(0)), 0);
 }
