--- a/Libraries/LibDistribution/StagedLoad.cpp
+++ b/Libraries/LibDistribution/StagedLoad.cpp
@@ -158,11 +158,11 @@
     });
 }
 
-std::optional<Platform::LoadManner> StagedLoad::manner(Core::Time now, SwitchTerms const& terms)
+std::optional<Platform::LoadMode> StagedLoad::manner(Core::Time now, SwitchTerms const& terms)
 {
     bool const serves_something = !m_report->held.empty();
     if (!serves_something)
-        return Platform::LoadManner::WaitForRunning;
+        return Platform::LoadMode::WaitForRunning;
     if (!terms.may_switch && !m_draining_since)
         return {};
     if (!m_draining_since)
@@ -173,11 +173,11 @@
         return {};
     auto const left = m_report->running + m_report->waiting;
     if (left == 0 || !terms.may_evict)
-        return Platform::LoadManner::WaitForRunning;
+        return Platform::LoadMode::WaitForRunning;
     auto const patience = left <= m_settings.few_running ? m_settings.few_patience : m_settings.drain_patience;
     if (drained_for < patience)
         return {};
-    return Platform::LoadManner::EvictRunning;
+    return Platform::LoadMode::EvictRunning;
 }
 
 std::vector<LoadAction> StagedLoad::step(Core::Time now, SwitchTerms terms)
--- a/Libraries/LibDistribution/StagedLoad.h
+++ b/Libraries/LibDistribution/StagedLoad.h
@@ -25,7 +25,7 @@
 struct OrderLoad {
     /// Nothing if the engine does not tell its sequence.
     std::optional<int64_t> expected_sequence;
-    Platform::LoadManner manner { Platform::LoadManner::WaitForRunning };
+    Platform::LoadMode manner { Platform::LoadMode::WaitForRunning };
 };
 
 using LoadAction = std::variant<StageChunk, ReadBackChunk, OrderLoad>;
@@ -105,7 +105,7 @@
     bool stage_next(std::vector<LoadAction>&);
     bool read_back_next(Core::Time now, std::vector<LoadAction>&);
     bool is_read_back(Core::Time now) const;
-    std::optional<Platform::LoadManner> manner(Core::Time now, SwitchTerms const&);
+    std::optional<Platform::LoadMode> manner(Core::Time now, SwitchTerms const&);
 
     int64_t m_version;
     StagedLoadSettings m_settings;
--- a/Libraries/LibPlatform/AskedPeers.cpp
+++ b/Libraries/LibPlatform/AskedPeers.cpp
@@ -8,56 +8,56 @@
 using Configuration::FactTopic;
 
 // An entry needs a second to decode a configuration of a thousand routes, and each further answer costs the same again.
-static constexpr size_t asked_at_once = 3;
+static constexpr size_t max_requests_at_once = 3;
 // The operator's records have the shortest deadline, and the log may be unreachable from the whole region. So one instance of another
 // region is asked right away.
-static constexpr size_t most_near_for_configuration = asked_at_once - 1;
+static constexpr size_t max_same_region_for_configuration = max_requests_at_once - 1;
 // A single late list is made up for by the instances of this region; after this many failures none of them may be able to read it.
-static constexpr int failures_of_a_region = 3;
+static constexpr int failures_before_other_regions = 3;
 // An instance that is behind for this long has a read that hangs. Before that, its own read is about to return what the others have.
-static constexpr Core::Duration behind_patience { 400 };
+static constexpr Core::Duration min_lag_same_region { 400 };
 // By then the instances of this region have been asked, if any of them had read further.
-static constexpr Core::Duration behind_patience_far { 1500 };
+static constexpr Core::Duration min_lag_other_region { 1500 };
 
 /// Appends identities in turn, starting at `next`, until `to` holds `most` of them.
-static void add_in_turn(std::vector<std::string> const& from, size_t& next, size_t most, std::vector<std::string>& to)
+static void append_in_turn(std::vector<std::string> const& from, size_t& next, size_t most, std::vector<std::string>& to)
 {
     for (size_t i = 0; i < from.size() && to.size() < most; ++i)
         to.push_back(from[next++ % from.size()]);
 }
 
-std::vector<std::string> AskedPeers::on_failing(FactTopic topic, std::vector<Peer> const& peers)
+std::vector<std::string> FactPeerSelector::on_read_failed(FactTopic topic, std::vector<Peer> const& peers)
 {
     m_failures[topic] += 1;
-    std::vector<std::string> near;
-    std::vector<std::string> far;
+    std::vector<std::string> same_region;
+    std::vector<std::string> other_regions;
     for (auto const& peer : peers)
-        (peer.distance == Distance::Near ? near : far).push_back(peer.identity);
+        (peer.distance == Distance::SameRegion ? same_region : other_regions).push_back(peer.identity);
     std::vector<std::string> asked;
-    if (near.empty() || are_far_asked()) {
-        add_in_turn(near, m_next_near, most_near_for_configuration, asked);
-        add_in_turn(far, m_next_far, asked_at_once, asked);
+    if (same_region.empty() || should_request_from_other_regions()) {
+        append_in_turn(same_region, m_next_same_region, max_same_region_for_configuration, asked);
+        append_in_turn(other_regions, m_next_other_region, max_requests_at_once, asked);
     } else {
-        add_in_turn(near, m_next_near, asked_at_once, asked);
+        append_in_turn(same_region, m_next_same_region, max_requests_at_once, asked);
     }
     return asked;
 }
 
-bool AskedPeers::are_far_asked() const
+bool FactPeerSelector::should_request_from_other_regions() const
 {
     auto const list = m_failures.find(FactTopic::BackendServers);
-    bool const is_list_away = list != m_failures.end() && list->second >= failures_of_a_region;
-    return is_list_away || m_failures.contains(FactTopic::Configuration);
+    bool const is_list_unreadable = list != m_failures.end() && list->second >= failures_before_other_regions;
+    return is_list_unreadable || m_failures.contains(FactTopic::Configuration);
 }
 
-bool AskedPeers::may_ask_linked(Distance distance) const
+bool FactPeerSelector::should_request_from_linked(Distance distance) const
 {
-    return distance == Distance::Near ? !m_failures.empty() : are_far_asked();
+    return distance == Distance::SameRegion ? !m_failures.empty() : should_request_from_other_regions();
 }
 
-bool AskedPeers::may_ask_ahead(Distance distance, Core::Duration behind_for)
+bool FactPeerSelector::should_request_from_newer(Distance distance, Core::Duration behind_for)
 {
-    return behind_for >= (distance == Distance::Near ? behind_patience : behind_patience_far);
+    return behind_for >= (distance == Distance::SameRegion ? min_lag_same_region : min_lag_other_region);
 }
 
 }
--- a/Libraries/LibPlatform/BadRecords.cpp
+++ b/Libraries/LibPlatform/BadRecords.cpp
@@ -10,20 +10,20 @@
 {
 }
 
-bool BadRecords::remember(BadRecord const& bad)
+bool BadRecords::is_first_occurrence(BadRecord const& bad)
 {
-    if (m_told.size() >= most_remembered || !m_told.emplace(bad.key, bad.error.code).second)
+    if (m_logged.size() >= max_logged || !m_logged.emplace(bad.key, bad.error.code).second)
         return false;
-    if (m_told.size() == most_remembered)
-        Core::log_event(Core::LogLevel::Warn, "bad_records_not_named", { { "named", std::to_string(most_remembered) } });
+    if (m_logged.size() == max_logged)
+        Core::log_event(Core::LogLevel::Warn, "bad_records_not_named", { { "named", std::to_string(max_logged) } });
     return true;
 }
 
-void BadRecords::note(BadRecord const& bad)
+void BadRecords::report_record(BadRecord const& bad)
 {
     std::string const reason = Core::error_name(bad.error.code);
     m_metrics.count("mountbarrow_bad_records_total", "reason=\"" + reason + "\"");
-    if (remember(bad))
+    if (is_first_occurrence(bad))
         Core::log_event(Core::LogLevel::Error, "bad_record", { { "key", bad.key }, { "revision", std::to_string(bad.revision) }, { "reason", reason }, { "detail", bad.error.detail } });
 }
 
--- a/Libraries/LibPlatform/BadRecords.h
+++ b/Libraries/LibPlatform/BadRecords.h
@@ -15,22 +15,22 @@
 public:
     /// Largest number of pairs of key and reason that are remembered, and so of lines logged during the life of a process. Keys have
     /// at most 255 bytes, so this takes at most 400 KiB. It is twice the number of servers that the largest fleets list.
-    static constexpr size_t most_remembered = 1024;
+    static constexpr size_t max_logged = 1024;
 
     explicit BadRecords(Core::Metrics&);
 
     /// Counts the record, and logs it if it is the first of its key and reason.
-    void note(BadRecord const&);
+    void report_record(BadRecord const&);
 
     /// Number of pairs of key and reason that were logged.
-    size_t remembered() const { return m_told.size(); }
+    size_t logged_count() const { return m_logged.size(); }
 
 private:
     /// Returns true if the record is the first of its key and reason, so that it must be logged.
-    bool remember(BadRecord const&);
+    bool is_first_occurrence(BadRecord const&);
 
     Core::Metrics& m_metrics;
-    std::set<std::pair<std::string, Core::ErrorCode>> m_told;
+    std::set<std::pair<std::string, Core::ErrorCode>> m_logged;
 };
 
 }
--- a/Libraries/LibPlatform/BlameRecords.h
+++ b/Libraries/LibPlatform/BlameRecords.h
@@ -22,12 +22,12 @@
     using ReadCallback = std::function<void(tl::expected<Page, FactLogFault>)>;
 
     /// Reads all records.
-    virtual void read(ReadPatience, ReadCallback) = 0;
+    virtual void read(ReadTimeouts, ReadCallback) = 0;
 
     /// Writes a record. The callback gets false if the record may not have been written.
     virtual void write(Schema::KeptBlame const&, std::function<void(bool)>) = 0;
     /// Removes the records of requests with these digests. The callback gets false if they may not have been removed.
-    virtual void forget(std::vector<std::string> const& digests, std::function<void(bool)>) = 0;
+    virtual void remove_blames(std::vector<std::string> const& digests, std::function<void(bool)>) = 0;
 };
 
 }
--- a/Libraries/LibPlatform/EngineApi.h
+++ b/Libraries/LibPlatform/EngineApi.h
@@ -32,7 +32,7 @@
 };
 
 /// What happens to the requests that run on the engine when it is ordered to load weights.
-enum class LoadManner {
+enum class LoadMode {
     /// The engine accepts no new requests and loads once the running ones have ended.
     WaitForRunning,
     /// The engine aborts them; streams that may be resumed continue on another backend server.
@@ -42,7 +42,7 @@
 /// How an order to load weights ended.
 enum class OrderOutcome {
     /// The engine has started to load, or has already loaded.
-    Taken,
+    Accepted,
     /// The engine refused the order because it does not fit the engine's state.
     Refused,
     /// No answer; the engine may have accepted the order.
@@ -59,9 +59,9 @@
 
     /// Orders the engine to load the staged weights of a model.
     /// `expected_sequence`: number of orders that the engine must have accepted before this one; std::nullopt if that is unknown.
-    virtual void start(std::string const& model, int64_t version, LoadManner, std::optional<int64_t> expected_sequence, std::function<void(OrderOutcome)>) = 0;
+    virtual void start(std::string const& model, int64_t version, LoadMode, std::optional<int64_t> expected_sequence, std::function<void(OrderOutcome)>) = 0;
 
-    /// Stores a chunk in the engine's staging area, from which start() loads. The callback gets whether it was stored.
+    /// Stores a chunk in the engine's staging area, from which start() loads. The callback gets true if the engine confirmed it.
     virtual void stage(std::string const& model, size_t chunk, std::string const& bytes, std::function<void(bool)>) = 0;
 
     /// Reads a staged chunk back; the callback gets null if there is none.
--- a/Libraries/LibPlatform/FactFollower.cpp
+++ b/Libraries/LibPlatform/FactFollower.cpp
@@ -6,7 +6,7 @@
 
 namespace Platform {
 
-static constexpr int most_retry_doublings = 8;
+static constexpr int max_retry_doublings = 8;
 // One connection can die and the next call can be refused. With one more failure the log counts as unreachable, for everyone or for this
 // instance alone; in the second case this instance receives new records from its peers.
 static constexpr int failures_of_an_outage = 3;
@@ -43,14 +43,14 @@
     m_servers.current_at = std::max(m_servers.current_at, current_at);
 }
 
-void FactFollower::on_servers_doubted()
+void FactFollower::on_server_list_mismatch()
 {
-    bool const may_hurry = m_is_running && !m_servers.is_reading && !m_servers.is_hurried && m_servers.failures == 0;
-    if (!may_hurry)
+    bool const can_move_forward = m_is_running && !m_servers.is_reading && !m_servers.is_moved_forward && m_servers.failures == 0;
+    if (!can_move_forward)
         return;
-    m_servers.is_hurried = true;
-    auto const due = m_servers.current_at + m_settings.doubted_interval;
-    read_later(m_servers, std::max(Core::Duration(0), due - Core::monotonic_now()));
+    m_servers.is_moved_forward = true;
+    auto const due = m_servers.current_at + m_settings.mismatch_interval;
+    schedule_read(m_servers, std::max(Core::Duration(0), due - Core::monotonic_now()));
 }
 
 Core::Duration FactFollower::age(Core::Time now) const
@@ -63,21 +63,21 @@
     if (!m_is_running || topic.is_reading)
         return;
     topic.is_reading = true;
-    topic.is_hurried = false;
+    topic.is_moved_forward = false;
     topic.read_before_began_at = topic.read_began_at;
     topic.read_began_at = Core::monotonic_now();
     auto const number = ++topic.read_number;
-    auto const take_answer = [this, &topic, number, is_listing = topic.needs_listing](auto page) {
+    auto const on_answer = [this, &topic, number, is_listing = topic.needs_listing](auto page) {
         if (number == topic.read_number)
             on_page(topic, page, is_listing);
     };
     if (topic.needs_listing)
-        m_log.read_newest(topic.topic, patience(topic), take_answer);
+        m_log.read_newest(topic.topic, timeouts(topic), on_answer);
     else
-        m_log.read(topic.topic, m_replica.end(topic.topic), patience(topic), take_answer);
+        m_log.read(topic.topic, m_replica.end(topic.topic), timeouts(topic), on_answer);
 }
 
-void FactFollower::read_anew()
+void FactFollower::restart_reads()
 {
     if (!m_is_running)
         return;
@@ -85,18 +85,18 @@
         topic->is_reading = false;
         // After a failure reads do not wait for a record, so the log answers at once.
         topic->failures = std::max(topic->failures, 1);
-        topic->blind_since = topic->blind_since.value_or(topic->read_began_at);
+        topic->gap_began_at = topic->gap_began_at.value_or(topic->read_began_at);
         read(*topic);
     }
 }
 
-ReadPatience FactFollower::patience(Topic const& topic) const
+ReadTimeouts FactFollower::timeouts(Topic const& topic) const
 {
     bool const may_wait = topic.topic == Configuration::FactTopic::Configuration && topic.failures == 0;
-    ReadPatience patience;
-    patience.wait = may_wait ? m_settings.configuration_wait : Core::Duration(0);
-    patience.answer = topic.failures > 1 ? m_settings.longest_answer_patience : m_settings.answer_patience;
-    return patience;
+    ReadTimeouts timeouts;
+    timeouts.wait = may_wait ? m_settings.configuration_wait : Core::Duration(0);
+    timeouts.answer = topic.failures > 1 ? m_settings.longest_answer_timeout : m_settings.answer_timeout;
+    return timeouts;
 }
 
 void FactFollower::on_page(Topic& topic, tl::expected<FactPage, FactLogFault> const& page, bool is_listing)
@@ -108,7 +108,7 @@
     if (page.has_value() && is_listing && is_operators && !topic.has_read_history)
         read_history(topic, *page);
     else if (page.has_value())
-        take(topic, *page, is_listing);
+        apply_page(topic, *page, is_listing);
     else
         on_failed(topic, page.error());
 }
@@ -118,9 +118,9 @@
 void FactFollower::read_history(Topic& topic, FactPage const& listing)
 {
     topic.is_reading = true;
-    ReadPatience patience;
-    patience.answer = m_settings.answer_patience;
-    m_log.read_history(topic.topic, listing.end, patience, [this, &topic, listing, number = topic.read_number](auto const& history) {
+    ReadTimeouts timeouts;
+    timeouts.answer = m_settings.answer_timeout;
+    m_log.read_history(topic.topic, listing.end, timeouts, [this, &topic, listing, number = topic.read_number](auto const& history) {
         if (number != topic.read_number)
             return;
         topic.is_reading = false;
@@ -129,22 +129,22 @@
             return;
         if (!history.has_value())
             Core::log_event(Core::LogLevel::Warn, "history_unread", { { "end", std::to_string(listing.end) } });
-        take(topic, listing, true, history.has_value() ? history->facts : std::vector<Configuration::Fact> {});
+        apply_page(topic, listing, true, history.has_value() ? history->facts : std::vector<Configuration::Fact> {});
     });
 }
 
 void FactFollower::on_failed(Topic& topic, FactLogFault fault)
 {
     bool const is_outage = topic.failures + 1 >= failures_of_an_outage;
-    topic.blind_since = is_outage ? topic.read_began_at : topic.blind_since.value_or(topic.read_began_at);
+    topic.gap_began_at = is_outage ? topic.read_began_at : topic.gap_began_at.value_or(topic.read_began_at);
     if (fault == FactLogFault::HistoryGone) {
         topic.needs_listing = true;
-        read_later(topic, Core::Duration(0));
+        schedule_read(topic, Core::Duration(0));
         return;
     }
-    read_later(topic, retry_wait(topic, fault));
+    schedule_read(topic, retry_wait(topic, fault));
     topic.failures += 1;
-    m_callbacks.failing(topic.topic, fault);
+    m_callbacks.read_failed(topic.topic, fault);
 }
 
 /// Returns the facts of a page of the list of backend servers, with an Unreadable fact for each record that could not be decoded.
@@ -156,23 +156,23 @@
     return facts;
 }
 
-void FactFollower::take(Topic& topic, FactPage const& page, bool is_listing, std::vector<Configuration::Fact> const& history)
+void FactFollower::apply_page(Topic& topic, FactPage const& page, bool is_listing, std::vector<Configuration::Fact> const& history)
 {
     auto const now = Core::monotonic_now();
-    Configuration::ReadTime const read { now, written_after(topic, now) };
+    Configuration::ReadTime const read { now, earliest_write_time(topic, now) };
     bool const is_regained = topic.failures > 0;
     auto const lost_for = now - topic.current_at;
     topic.failures = 0;
-    topic.blind_since.reset();
+    topic.gap_began_at.reset();
     // The records of the next page may be as old as those of this one.
     if (page.end < page.log_end)
-        topic.blind_since = read.written_after;
+        topic.gap_began_at = read.earliest_write_time;
     topic.has_been_read = true;
     topic.needs_listing = false;
     topic.current_at = now;
     topic.read_at = now;
     if (is_regained)
-        m_callbacks.regained(topic.topic, lost_for);
+        m_callbacks.read_recovered(topic.topic, lost_for);
     for (auto const& bad : page.bad)
         m_callbacks.bad_record(bad);
     // Bad records of the operator leave the previous value in force, so no fact is made of them.
@@ -183,18 +183,18 @@
     if (!history.empty())
         changes.add(m_replica.on_history(history, read));
     bool const is_configuration = topic.topic == Configuration::FactTopic::Configuration;
-    read_later(topic, is_configuration ? Core::Duration(0) : m_settings.servers_interval);
+    schedule_read(topic, is_configuration ? Core::Duration(0) : m_settings.servers_interval);
     if (changes.has_any())
         m_callbacks.changed(changes);
 }
 
-std::optional<Core::Time> FactFollower::written_after(Topic const& topic, Core::Time now) const
+std::optional<Core::Time> FactFollower::earliest_write_time(Topic const& topic, Core::Time now) const
 {
     if (!topic.has_been_read)
         return {};
     // If the process was paused during a read, its empty answer does not prove that nothing was written until now.
     auto const last_read = topic.is_reading ? topic.read_began_at : now;
-    return std::min(topic.blind_since.value_or(last_read), m_pauses.earliest_arrival(topic.read_before_began_at, now));
+    return std::min(topic.gap_began_at.value_or(last_read), m_pauses.earliest_arrival(topic.read_before_began_at, now));
 }
 
 Core::Duration FactFollower::retry_wait(Topic const& topic, FactLogFault fault) const
@@ -203,11 +203,11 @@
     if (topic.failures == 0 && fault == FactLogFault::Unavailable)
         return Core::Duration(0);
     // Each call to the log is charged, even one that it refuses.
-    auto const doublings = std::min(topic.failures, most_retry_doublings);
+    auto const doublings = std::min(topic.failures, max_retry_doublings);
     return std::min(m_settings.longest_retry_interval, m_settings.retry_interval * (1 << doublings));
 }
 
-void FactFollower::read_later(Topic& topic, Core::Duration wait)
+void FactFollower::schedule_read(Topic& topic, Core::Duration wait)
 {
     topic.timer = m_loop.after(wait, [this, &topic] { read(topic); });
 }
--- a/Libraries/LibPlatform/FactFollower.h
+++ b/Libraries/LibPlatform/FactFollower.h
@@ -18,11 +18,11 @@
     /// for one would be answered, and paid for, all the time.
     Core::Duration servers_interval { 800 };
     /// Shortest time between two reads of the list when a backend server was found to differ from it.
-    Core::Duration doubted_interval { 400 };
+    Core::Duration mismatch_interval { 400 };
     /// Timeout of an answer. The log answers within a few milliseconds, so an answer that takes this long is treated as lost.
-    Core::Duration answer_patience { 600 };
+    Core::Duration answer_timeout { 600 };
     /// Timeout of an answer after more than one failed read in a row, so that a log that is only slow can still be read.
-    Core::Duration longest_answer_patience { 1200 };
+    Core::Duration longest_answer_timeout { 1200 };
     /// Time before a read is retried, after the log refused it or after repeated failures. It doubles with each failure up to
     /// `longest_retry_interval`.
     Core::Duration retry_interval { 150 };
@@ -42,9 +42,9 @@
         /// Records that were read have changed the replica.
         std::function<void(Configuration::FactChanges const&)> changed;
         /// The log did not answer a read, or refused it; peers may have newer facts. Called at each failed read.
-        std::function<void(Configuration::FactTopic, FactLogFault)> failing;
+        std::function<void(Configuration::FactTopic, FactLogFault)> read_failed;
         /// The log answers again after failed reads; the duration is the time since the topic was last known to be current.
-        std::function<void(Configuration::FactTopic, Core::Duration)> regained;
+        std::function<void(Configuration::FactTopic, Core::Duration)> read_recovered;
         /// A record could not be decoded.
         std::function<void(BadRecord const&)> bad_record;
     };
@@ -59,18 +59,18 @@
 
     /// Call this when the process resumes after a pause. Reads both topics again at once and ignores the answers to reads in flight, whose
     /// connections may be dead or whose answers may be outdated.
-    void read_anew();
+    void restart_reads();
 
     /// Call this when facts from a peer were applied to the replica; the peer read them from the log `age` ago.
     void on_peer_facts(Core::Duration age);
 
     /// Call this when a backend server was found to be another incarnation than the one listed. Moves the next read of the list forward,
-    /// but reads it at most once per `doubted_interval`.
-    void on_servers_doubted();
+    /// but reads it at most once per `mismatch_interval`.
+    void on_server_list_mismatch();
 
     /// Any record of the operator that is not in the replica by now was written after the returned time. Returns std::nullopt before the
     /// first read.
-    std::optional<Core::Time> configuration_complete_at(Core::Time now) const { return written_after(m_configuration, now); }
+    std::optional<Core::Time> configuration_complete_until(Core::Time now) const { return earliest_write_time(m_configuration, now); }
 
     /// Time since both topics were known to be current: that of the topic that is further behind.
     Core::Duration age(Core::Time now) const;
@@ -100,9 +100,9 @@
         int failures { 0 };
         // Start of a read that failed; a record may have been written since. Of several failed reads in a row this is the first. Once so
         // many have failed that the log itself must be down, it is the last one: nothing can be written until the log is back.
-        std::optional<Core::Time> blind_since;
+        std::optional<Core::Time> gap_began_at;
         // The next read was moved forward because a backend server differs from the list.
-        bool is_hurried { false };
+        bool is_moved_forward { false };
         std::unique_ptr<Core::Timer> timer;
     };
 
@@ -110,10 +110,10 @@
     void on_page(Topic&, tl::expected<FactPage, FactLogFault> const&, bool is_listing);
     void read_history(Topic&, FactPage const& listing);
     void on_failed(Topic&, FactLogFault);
-    void take(Topic&, FactPage const&, bool is_listing, std::vector<Configuration::Fact> const& history = {});
-    void read_later(Topic&, Core::Duration);
-    std::optional<Core::Time> written_after(Topic const&, Core::Time now) const;
-    ReadPatience patience(Topic const&) const;
+    void apply_page(Topic&, FactPage const&, bool is_listing, std::vector<Configuration::Fact> const& history = {});
+    void schedule_read(Topic&, Core::Duration);
+    std::optional<Core::Time> earliest_write_time(Topic const&, Core::Time now) const;
+    ReadTimeouts timeouts(Topic const&) const;
     Core::Duration retry_wait(Topic const&, FactLogFault) const;
 
     Core::EventLoop& m_loop;
@@ -123,8 +123,8 @@
     FactFollowerSettings m_settings;
     Callbacks m_callbacks;
     bool m_is_running { false };
-    Topic m_configuration { .topic = Configuration::FactTopic::Configuration, .blind_since = {}, .timer = nullptr };
-    Topic m_servers { .topic = Configuration::FactTopic::BackendServers, .blind_since = {}, .timer = nullptr };
+    Topic m_configuration { .topic = Configuration::FactTopic::Configuration, .gap_began_at = {}, .timer = nullptr };
+    Topic m_servers { .topic = Configuration::FactTopic::BackendServers, .gap_began_at = {}, .timer = nullptr };
 };
 
 }
--- a/Libraries/LibPlatform/FactLog.h
+++ b/Libraries/LibPlatform/FactLog.h
@@ -40,7 +40,7 @@
 };
 
 /// How long a read of the log may take, in milliseconds.
-struct ReadPatience {
+struct ReadTimeouts {
     /// Longest time that the log may delay its answer until a record arrives (long polling). 0: it answers at once.
     Core::Duration wait { 0 };
     /// Time allowed for the round trip in addition to `wait`. After both, the connection is treated as dead.
@@ -55,15 +55,15 @@
 
     using Callback = std::function<void(tl::expected<FactPage, FactLogFault>)>;
 
-    /// Reads the records of a topic from an offset on. Waits up to `ReadPatience::wait` if there is none yet.
-    virtual void read(Configuration::FactTopic, int64_t from, ReadPatience, Callback) = 0;
+    /// Reads the records of a topic from an offset on. Waits up to `ReadTimeouts::wait` if there is none yet.
+    virtual void read(Configuration::FactTopic, int64_t from, ReadTimeouts, Callback) = 0;
 
     /// Reads the newest record of each key of a topic, without waiting for new ones.
-    virtual void read_newest(Configuration::FactTopic, ReadPatience, Callback) = 0;
+    virtual void read_newest(Configuration::FactTopic, ReadTimeouts, Callback) = 0;
 
     /// Reads records before the offset `end` that later records of the same keys have replaced. Returns the most recent of them, as far
     /// as the log still stores them and their total size is limited. The default is for a log without history: an empty page.
-    virtual void read_history(Configuration::FactTopic, int64_t /*end*/, ReadPatience, Callback callback)
+    virtual void read_history(Configuration::FactTopic, int64_t /*end*/, ReadTimeouts, Callback callback)
     {
         auto const answer = std::move(callback);
         answer(FactPage {});
--- a/Libraries/LibPlatform/RequestHeads.h
+++ b/Libraries/LibPlatform/RequestHeads.h
@@ -27,7 +27,7 @@
 };
 
 /// The values that this system adds to the head of a request to a backend server.
-struct BackendTerms {
+struct BackendRequestFields {
     /// Incarnation of the backend server that the request is meant for; another incarnation refuses it.
     std::string server_id;
     std::optional<std::string> customer;
@@ -44,7 +44,7 @@
     int status { 0 };
     /// Whether the backend server states that it did not run the request.
     bool is_not_run { false };
-    /// Whether the answer carries the header that marks it as a backend server's own, and no content encoding that was not requested.
+    /// Whether the answer carries the header that marks it as a backend server's own, and no content encoding, as none was requested.
     bool is_genuine { false };
     std::string request_id;
     std::optional<Core::Duration> retry_after;
@@ -62,13 +62,13 @@
     virtual CallerHead read_caller(Transport::MessageHead const&) const = 0;
 
     /// Returns the whole request, head and body, as it is sent to the backend server.
-    virtual std::string write_request(Transport::MessageHead const& caller, std::string const& body, BackendTerms const&) const = 0;
+    virtual std::string write_request(Transport::MessageHead const& caller, std::string const& body, BackendRequestFields const&) const = 0;
 
     /// Decodes the head of a backend server's answer.
     virtual BackendHead read_backend(Transport::MessageHead const&) const = 0;
 
     /// Returns the header fields of an answer that this system generates itself.
-    virtual Transport::HttpHeaders own_answer(std::string const& request_id, std::optional<Core::Duration> retry_after) const = 0;
+    virtual Transport::HttpHeaders generated_answer_headers(std::string const& request_id, std::optional<Core::Duration> retry_after) const = 0;
 
     /// Returns the id in the text of a stream's event; std::nullopt if it has none.
     virtual std::optional<int64_t> event_id(std::string_view event) const = 0;
--- a/Libraries/LibPlatform/KeptBlames.h
+++ b/Libraries/LibPlatform/StoredBlames.h
@@ -18,7 +18,7 @@
 ///
 /// Blames are rare, so an entry does not poll for them. It reads them when it starts and when it sees that a backend server terminated; an
 /// entry that has not received a blame sends such a request once.
-class KeptBlames {
+class StoredBlames {
 public:
     struct Callbacks {
         /// A stored blame was read.
@@ -28,22 +28,22 @@
     };
 
     /// `records`: null if the platform cannot store such records. `identity`: this entry.
-    KeptBlames(Core::EventLoop&, std::unique_ptr<BlameRecords>, std::string identity, Core::Metrics&, Callbacks);
+    StoredBlames(Core::EventLoop&, std::unique_ptr<BlameRecords>, std::string identity, Core::Metrics&, Callbacks);
 
     /// Reads the stored blames, with retries until a read is answered. No effect while a read is in flight.
     void read();
     /// Like read(), but without effect if the last read began less than 2 s ago.
-    void read_soon();
+    void read_unless_recent();
 
     /// Stores the blame of a request if this entry is responsible for it. No effect if the request is only suspected or the blame is stored.
-    void keep(Schema::CrashSuspect const&);
+    void store_blame(Schema::CrashSuspect const&);
     /// Removes the blame of a request, here and from the store.
-    void forget(std::string const& digest);
+    void remove_blame(std::string const& digest);
     /// Removes the blame here only, after another entry removed it from the store.
-    void on_forgotten(std::string const& digest);
+    void on_removed_by_peer(std::string const& digest);
 
 private:
-    struct Unwritten {
+    struct PendingWrite {
         Schema::KeptBlame blame;
         Core::Time known_since { 0 };
     };
@@ -51,15 +51,15 @@
     void on_read(tl::expected<BlameRecords::Page, FactLogFault> const&);
     void write_due();
     void on_written(std::string const& digest, bool is_done);
-    void drop(std::vector<std::string> const& digests);
+    void remove_from_store(std::vector<std::string> const& digests);
 
     Core::EventLoop& m_loop;
     std::unique_ptr<BlameRecords> m_records;
     std::string m_identity;
     Core::Metrics& m_metrics;
     Callbacks m_callbacks;
-    std::set<std::string> m_kept;
-    std::map<std::string, Unwritten> m_unwritten;
+    std::set<std::string> m_stored;
+    std::map<std::string, PendingWrite> m_pending_writes;
     bool m_is_reading { false };
     bool m_is_writing { false };
     int m_failures { 0 };
--- a/Libraries/LibPlatform/KeptVersions.cpp
+++ b/Libraries/LibPlatform/StoredVersions.cpp
@@ -1,5 +1,5 @@
 // SPDX-License-Identifier: BSD-2-Clause
-#include <LibPlatform/KeptVersions.h>
+#include <LibPlatform/StoredVersions.h>
 
 #include <LibCore/Log.h>
 #include <LibPlatform/WriterTurns.h>
@@ -8,18 +8,18 @@
 namespace Platform {
 
 // The store answers within a few milliseconds, and the entry serves nothing before this read is answered or has timed out.
-static constexpr Core::Duration read_patience { 600 };
+static constexpr Core::Duration read_timeout { 600 };
 // Timeout after a failed read, as a network path may be saturated.
-static constexpr Core::Duration longest_read_patience { 1200 };
+static constexpr Core::Duration longest_read_timeout { 1200 };
 static constexpr Core::Duration retry_interval { 300 };
 static constexpr Core::Duration longest_retry_interval { 2400 };
-static constexpr int most_doublings = 3;
+static constexpr int max_doublings = 3;
 // The set of linked entries seldom changes, but an entry that was responsible for a record may have terminated.
-static constexpr Core::Duration turn_interval { 500 };
+static constexpr Core::Duration write_check_interval { 500 };
 // The deadlines of older versions have long passed.
-static constexpr size_t kept_of_a_model = 16;
+static constexpr size_t max_stored_per_model = 16;
 
-KeptVersions::KeptVersions(Core::EventLoop& loop, std::unique_ptr<VersionRecords> records, std::string identity, Configuration::FactReplica const& facts, Core::Metrics& metrics, Callbacks callbacks)
+StoredVersions::StoredVersions(Core::EventLoop& loop, std::unique_ptr<VersionRecords> records, std::string identity, Configuration::FactReplica const& facts, Core::Metrics& metrics, Callbacks callbacks)
     : m_loop(loop)
     , m_records(std::move(records))
     , m_identity(std::move(identity))
@@ -32,39 +32,39 @@
 
 static Core::Duration retry_wait(int failures)
 {
-    return std::min(longest_retry_interval, retry_interval * (1 << std::min(failures, most_doublings)));
+    return std::min(longest_retry_interval, retry_interval * (1 << std::min(failures, max_doublings)));
 }
 
-void KeptVersions::start(std::function<void()> then)
+void StoredVersions::start(std::function<void()> then)
 {
     if (m_is_read) {
         then();
         return;
     }
-    m_then = std::move(then);
-    m_write_timer = m_loop.every(turn_interval, [this] { keep_new(); });
+    m_on_first_read = std::move(then);
+    m_write_timer = m_loop.every(write_check_interval, [this] { store_new_versions(); });
     read();
 }
 
-void KeptVersions::read()
+void StoredVersions::read()
 {
-    auto const patience = m_failures == 0 ? read_patience : longest_read_patience;
-    m_records->read({ .wait = Core::Duration(0), .answer = patience }, [this](auto const& page) { on_read(page); });
+    auto const timeout = m_failures == 0 ? read_timeout : longest_read_timeout;
+    m_records->read({ .wait = Core::Duration(0), .answer = timeout }, [this](auto const& page) { on_read(page); });
 }
 
-void KeptVersions::on_read(tl::expected<VersionRecords::Page, FactLogFault> const& page)
+void StoredVersions::on_read(tl::expected<VersionRecords::Page, FactLogFault> const& page)
 {
     if (page.has_value()) {
-        take(*page);
+        apply_page(*page);
     } else {
         Core::log_event(Core::LogLevel::Warn, "kept_versions_unread", { { "failures", std::to_string(m_failures + 1) } });
         m_read_timer = m_loop.after(retry_wait(m_failures++), [this] { read(); });
     }
-    if (auto const then = std::exchange(m_then, nullptr))
+    if (auto const then = std::exchange(m_on_first_read, nullptr))
         then();
 }
 
-void KeptVersions::take(VersionRecords::Page const& page)
+void StoredVersions::apply_page(VersionRecords::Page const& page)
 {
     m_is_read = true;
     m_failures = 0;
@@ -72,7 +72,7 @@
     auto const wall_now = Core::wall_now();
     std::vector<Configuration::KnownVersion> known;
     for (auto const& each : page.versions) {
-        m_kept.emplace(each.model, each.version);
+        m_stored.emplace(each.model, each.version);
         // A time before the epoch or in the future comes from a wrong clock.
         auto const known_at = std::clamp(Core::Time(each.known_at_ms), Core::Time(0), wall_now);
         auto const age = wall_now - known_at;
@@ -84,21 +84,21 @@
     m_callbacks.read(known);
 }
 
-bool KeptVersions::falls_to_this(Version const& version, Core::Duration known_for) const
+bool StoredVersions::is_responsible_for(Version const& version, Core::Duration known_for) const
 {
-    return is_turn_to_write(version.first + "/" + std::to_string(version.second), m_identity, m_callbacks.entries(), known_for);
+    return should_write_record(version.first + "/" + std::to_string(version.second), m_identity, m_callbacks.entries(), known_for);
 }
 
-void KeptVersions::keep_new()
+void StoredVersions::store_new_versions()
 {
     auto const now = Core::monotonic_now();
     if (!m_records || !m_is_read || m_is_writing || now < m_next_write_at)
         return;
     for (auto const& [model, named] : m_facts.versions()) {
-        auto const outlived = named.versions.size() - std::min(named.versions.size(), kept_of_a_model);
-        for (size_t i = outlived; i < named.versions.size(); ++i) {
+        auto const surplus_versions = named.versions.size() - std::min(named.versions.size(), max_stored_per_model);
+        for (size_t i = surplus_versions; i < named.versions.size(); ++i) {
             Version const version { model, named.versions[i].version };
-            if (m_kept.contains(version) || !falls_to_this(version, now - named.versions[i].found))
+            if (m_stored.contains(version) || !is_responsible_for(version, now - named.versions[i].found))
                 continue;
             write(version, named.versions[i]);
             return;
@@ -107,27 +107,27 @@
 }
 
 /// Returns the stored versions of a model that must be removed so that, with one more, only the newest ones are stored.
-std::vector<Schema::ModelVersion> KeptVersions::outlived(std::string const& model) const
+std::vector<Schema::ModelVersion> StoredVersions::surplus_versions(std::string const& model) const
 {
     std::vector<Schema::ModelVersion> versions;
-    for (auto const& [kept_model, version] : m_kept) {
-        if (kept_model == model)
+    for (auto const& [stored_model, version] : m_stored) {
+        if (stored_model == model)
             versions.push_back({ .model = model, .version = version });
     }
-    versions.resize(versions.size() - std::min(versions.size(), kept_of_a_model - 1));
+    versions.resize(versions.size() - std::min(versions.size(), max_stored_per_model - 1));
     return versions;
 }
 
-void KeptVersions::write(Version const& version, Configuration::NamedVersion const& named)
+void StoredVersions::write(Version const& version, Configuration::NamedVersion const& named)
 {
     m_is_writing = true;
     auto const known_for = Core::monotonic_now() - std::min(named.known, named.remembered.value_or(named.known));
     Schema::KeptVersion const record { .known_at_ms = (Core::wall_now() - known_for).count(), .model = version.first, .version = version.second };
-    auto const forgotten = outlived(version.first);
+    auto const forgotten = surplus_versions(version.first);
     m_records->write(record, forgotten, [this, version, forgotten](bool is_done) { on_written(version, forgotten, is_done); });
 }
 
-void KeptVersions::on_written(Version const& version, std::vector<Schema::ModelVersion> const& forgotten, bool is_done)
+void StoredVersions::on_written(Version const& version, std::vector<Schema::ModelVersion> const& forgotten, bool is_done)
 {
     m_is_writing = false;
     m_metrics.count("mountbarrow_version_records_total", std::string("outcome=\"") + (is_done ? "written" : "failed") + "\"");
@@ -137,10 +137,10 @@
         return;
     }
     m_failures = 0;
-    m_kept.insert(version);
+    m_stored.insert(version);
     for (auto const& each : forgotten)
-        m_kept.erase({ each.model, each.version });
-    m_loop.soon([this] { keep_new(); });
+        m_stored.erase({ each.model, each.version });
+    m_loop.soon([this] { store_new_versions(); });
 }
 
 }
--- a/Libraries/LibPlatform/KeptVersions.h
+++ b/Libraries/LibPlatform/StoredVersions.h
@@ -19,9 +19,9 @@
 ///
 /// The newest record of an operator's key may name an older version: a write whose answer was lost may be carried out after a newer one.
 /// A process that was running at the time knows the newer version, but one that starts does not. So two of the linked entries store each
-/// version that they learn of, and an entry that starts reads these records first. It then knows the newest version, and whether the
-/// deadline by which that version must be served has passed.
-class KeptVersions {
+/// version that they learn of, and an entry that starts reads these records first. It then knows the newest version, and when
+/// it was named at the latest, which tells whether the version's deadline has passed.
+class StoredVersions {
 public:
     struct Callbacks {
         /// The stored versions were read.
@@ -33,7 +33,7 @@
     };
 
     /// `records`: null if the platform cannot store such records. `identity`: this entry.
-    KeptVersions(Core::EventLoop&, std::unique_ptr<VersionRecords>, std::string identity, Configuration::FactReplica const&, Core::Metrics&, Callbacks);
+    StoredVersions(Core::EventLoop&, std::unique_ptr<VersionRecords>, std::string identity, Configuration::FactReplica const&, Core::Metrics&, Callbacks);
 
     /// Reads the stored versions, with retries until a read is answered. Calls `then` once, after the first read, even if it failed.
     void start(std::function<void()> then);
@@ -42,18 +42,18 @@
     bool is_read() const { return m_is_read; }
 
     /// Stores the versions that are not stored yet and that this entry is responsible for, one after another.
-    void keep_new();
+    void store_new_versions();
 
 private:
     using Version = std::pair<std::string, int64_t>;
 
     void read();
     void on_read(tl::expected<VersionRecords::Page, FactLogFault> const&);
-    void take(VersionRecords::Page const&);
-    bool falls_to_this(Version const&, Core::Duration known_for) const;
+    void apply_page(VersionRecords::Page const&);
+    bool is_responsible_for(Version const&, Core::Duration known_for) const;
     void write(Version const&, Configuration::NamedVersion const&);
     void on_written(Version const&, std::vector<Schema::ModelVersion> const& forgotten, bool is_done);
-    std::vector<Schema::ModelVersion> outlived(std::string const& model) const;
+    std::vector<Schema::ModelVersion> surplus_versions(std::string const& model) const;
 
     Core::EventLoop& m_loop;
     std::unique_ptr<VersionRecords> m_records;
@@ -61,12 +61,12 @@
     Configuration::FactReplica const& m_facts;
     Core::Metrics& m_metrics;
     Callbacks m_callbacks;
-    std::function<void()> m_then;
+    std::function<void()> m_on_first_read;
     bool m_is_read { false };
     bool m_is_writing { false };
     int m_failures { 0 };
     Core::Time m_next_write_at { 0 };
-    std::set<Version> m_kept;
+    std::set<Version> m_stored;
     std::unique_ptr<Core::Timer> m_read_timer;
     std::unique_ptr<Core::Timer> m_write_timer;
 };
--- a/Libraries/LibPlatform/VersionRecords.h
+++ b/Libraries/LibPlatform/VersionRecords.h
@@ -21,7 +21,7 @@
     using ReadCallback = std::function<void(tl::expected<Page, FactLogFault>)>;
 
     /// Reads all records.
-    virtual void read(ReadPatience, ReadCallback) = 0;
+    virtual void read(ReadTimeouts, ReadCallback) = 0;
 
     /// Writes a record and removes the `forgotten` ones in one transaction. The callback gets false if that may not have been done.
     virtual void write(Schema::KeptVersion const&, std::vector<Schema::ModelVersion> const& forgotten, std::function<void(bool)>) = 0;
--- a/Libraries/LibPlatform/WriterTurns.h
+++ b/Libraries/LibPlatform/WriterTurns.h
@@ -13,6 +13,6 @@
 /// entry cannot know which others the store serves.
 ///
 /// `identity`: this entry. `others`: the other entries that this one has links to. `known_for`: time since this entry knows the record.
-bool is_turn_to_write(std::string const& key, std::string const& identity, std::vector<std::string> others, Core::Duration known_for);
+bool should_write_record(std::string const& key, std::string const& identity, std::vector<std::string> others, Core::Duration known_for);
 
 }
--- a/Services/DirectEntry/CrashWatch.cpp
+++ b/Services/DirectEntry/CrashWatch.cpp
@@ -84,7 +84,7 @@
 void CrashWatch::on_ended_under(std::string const& incarnation, Routing::CrashSuspects::Run const& run)
 {
     // An entry that no other reaches hears of a blame here alone.
-    m_kept.read_soon();
+    m_kept.read_unless_recent();
     auto const now = Core::monotonic_now();
     auto const blamed = m_suspects.on_server_ended(incarnation, { run }, now);
     news().suspects.push_back(m_suspects.to_tell(run.digest, now));
@@ -103,7 +103,7 @@
         }
         m_metrics.count("mountbarrow_requests_blamed_total", "from=\"" + std::string(from) + "\"");
         Core::log_event(Core::LogLevel::Error, "request_blamed", { { "digest", digest }, { "from", from }, { "servers", servers } });
-        m_kept.keep(m_suspects.to_tell(digest, Core::monotonic_now()));
+        m_kept.store_blame(m_suspects.to_tell(digest, Core::monotonic_now()));
         m_callbacks.blamed(digest);
     }
 }
@@ -127,7 +127,7 @@
     auto const was_blamed = m_suspects.find(digest)->times_blamed > 0;
     m_suspects.clear(digest);
     if (was_blamed)
-        m_kept.forget(digest);
+        m_kept.remove_blame(digest);
     news().cleared.push_back(digest);
     m_metrics.count("mountbarrow_suspects_cleared_total", "reason=\"" + std::string(reason) + "\"");
     Core::log_event(Core::LogLevel::Info, "suspect_cleared", { { "digest", digest }, { "reason", reason } });
@@ -172,7 +172,7 @@
         m_suspects.on_peer_run(entry, run, now);
     for (auto const& digest : told.cleared) {
         m_suspects.clear(digest);
-        m_kept.on_forgotten(digest);
+        m_kept.on_removed_by_peer(digest);
     }
 }
 
--- a/Services/DirectEntry/CrashWatch.h
+++ b/Services/DirectEntry/CrashWatch.h
@@ -3,7 +3,7 @@
 
 #include <LibCore/EventLoop.h>
 #include <LibCore/Metrics.h>
-#include <LibPlatform/KeptBlames.h>
+#include <LibPlatform/StoredBlames.h>
 #include <LibRouting/CrashSuspects.h>
 #include <LibSchema/Generated.h>
 #include <LibTransport/BackendCall.h>
@@ -74,7 +74,7 @@
     Core::Metrics& m_metrics;
     Callbacks m_callbacks;
     Routing::CrashSuspects m_suspects;
-    Platform::KeptBlames m_kept;
+    Platform::StoredBlames m_kept;
     std::map<std::string, Question> m_questions;
     // Servers that were found ended, and when.
     std::map<std::string, Core::Time> m_ended;
--- a/Services/DirectEntry/DirectEntry.cpp
+++ b/Services/DirectEntry/DirectEntry.cpp
@@ -113,7 +113,7 @@
         .returning = m_returning,
         .line = [this](std::string const& service) -> Routing::ServiceLine& { return m_lines.try_emplace(service, queue_limit).first->second; },
         .asked = [this](std::string const& service) { m_sharing.on_asked(service); },
-        .list_doubted = [this] { m_facts.on_servers_doubted(); },
+        .list_doubted = [this] { m_facts.on_server_list_mismatch(); },
         .over = [this](uint64_t number) { m_loop.soon([this, number] { m_requests.erase(number); }); } }
 {
     Transport::LinkOptions options;
@@ -456,9 +456,9 @@
     auto const& loads = m_sharing.peer_loads();
     auto const load = loads.find(entry);
     if (load == loads.end())
-        return Platform::Distance::Far;
+        return Platform::Distance::OtherRegion;
     auto const distance = Routing::distance_between(m_settings.failure_domain, load->second.failure_domain, m_settings.regions);
-    return distance == Routing::Distance::OtherRegion ? Platform::Distance::Far : Platform::Distance::Near;
+    return distance == Routing::Distance::OtherRegion ? Platform::Distance::OtherRegion : Platform::Distance::SameRegion;
 }
 
 void DirectEntry::on_facts(FactChanges const& changes)
--- a/Services/DirectEntry/EntryFacts.cpp
+++ b/Services/DirectEntry/EntryFacts.cpp
@@ -27,7 +27,7 @@
 {
     Platform::FactFollowerSettings result;
     if (bounds.contact_ms) {
-        auto const wait = Core::Duration(*bounds.contact_ms) - result.answer_patience - read_again_reserve;
+        auto const wait = Core::Duration(*bounds.contact_ms) - result.answer_timeout - read_again_reserve;
         result.configuration_wait = std::clamp(wait, shortest_configuration_wait, result.configuration_wait);
     }
     result.servers_interval = std::clamp(Core::Duration(bounds.drain_ms) - drain_reaction, shortest_list_interval, longest_list_interval);
@@ -56,12 +56,12 @@
     m_kept.start([this] { m_follower.start(); });
 }
 
-Platform::KeptVersions::Callbacks EntryFacts::kept_callbacks()
+Platform::StoredVersions::Callbacks EntryFacts::kept_callbacks()
 {
     return {
         .read = [this](std::vector<Configuration::KnownVersion> const& known) { take_known(known); },
         .entries = [this] { return m_callbacks.entries(); },
-        .bad_record = [this](Platform::BadRecord const& bad) { m_bad_records.note(bad); },
+        .bad_record = [this](Platform::BadRecord const& bad) { m_bad_records.report_record(bad); },
     };
 }
 
@@ -84,16 +84,16 @@
         Core::log_event(Core::LogLevel::Warn, "older_record", { { "key", key } });
     }
     m_callbacks.changed(changes);
-    m_kept.keep_new();
+    m_kept.store_new_versions();
 }
 
 Platform::FactFollower::Callbacks EntryFacts::follower_callbacks()
 {
     return {
         .changed = [this](Configuration::FactChanges const& changes) { on_changed(changes); },
-        .failing = [this](Configuration::FactTopic topic, Platform::FactLogFault fault) { on_failing(topic, fault); },
-        .regained = [this](Configuration::FactTopic topic, Core::Duration lost_for) { on_regained(topic, lost_for); },
-        .bad_record = [this](Platform::BadRecord const& bad) { m_bad_records.note(bad); },
+        .read_failed = [this](Configuration::FactTopic topic, Platform::FactLogFault fault) { on_read_failed(topic, fault); },
+        .read_recovered = [this](Configuration::FactTopic topic, Core::Duration lost_for) { on_read_recovered(topic, lost_for); },
+        .bad_record = [this](Platform::BadRecord const& bad) { m_bad_records.report_record(bad); },
     };
 }
 
@@ -106,7 +106,7 @@
     // What others were asked before is lost with the links.
     m_behind_since.reset();
     m_asked_for_versions = 0;
-    m_follower.read_anew();
+    m_follower.restart_reads();
 }
 
 bool EntryFacts::is_awake()
@@ -127,7 +127,7 @@
 
 // The platform's log.
 
-void EntryFacts::on_failing(Configuration::FactTopic topic, Platform::FactLogFault fault)
+void EntryFacts::on_read_failed(Configuration::FactTopic topic, Platform::FactLogFault fault)
 {
     char const* const reason = fault == Platform::FactLogFault::Refused ? "refused" : "unavailable";
     m_metrics.count("mountbarrow_log_failures_total", "reason=\"" + std::string(reason) + "\"");
@@ -137,14 +137,14 @@
     std::vector<Platform::Peer> peers;
     for (auto const& entry : m_callbacks.entries())
         peers.push_back({ entry, m_callbacks.distance(entry) });
-    for (auto const& entry : m_asked.on_failing(topic, peers))
+    for (auto const& entry : m_asked.on_read_failed(topic, peers))
         m_callbacks.send(entry, message);
 }
 
-void EntryFacts::on_regained(Configuration::FactTopic topic, Core::Duration lost_for)
+void EntryFacts::on_read_recovered(Configuration::FactTopic topic, Core::Duration lost_for)
 {
     m_failing.erase(topic);
-    m_asked.on_regained(topic);
+    m_asked.on_read_recovered(topic);
     // What was read just now is dated by a guess: an entry that went on reading knows better.
     if (topic == Configuration::FactTopic::Configuration)
         m_asked_for_versions = 0;
@@ -165,7 +165,7 @@
 
 void EntryFacts::on_entry_linked(std::string const& entry)
 {
-    if (m_asked.may_ask_linked(m_callbacks.distance(entry)))
+    if (m_asked.should_request_from_linked(m_callbacks.distance(entry)))
         m_callbacks.send(entry, request());
     ask_for_versions(entry);
 }
@@ -211,7 +211,7 @@
 {
     auto const behind_since = m_behind_since.value_or(now);
     m_behind_since = behind_since;
-    bool const may_ask = Platform::AskedPeers::may_ask_ahead(m_callbacks.distance(entry), now - behind_since);
+    bool const may_ask = Platform::FactPeerSelector::should_request_from_newer(m_callbacks.distance(entry), now - behind_since);
     if (!may_ask || now - m_asked_at < ask_interval)
         return false;
     m_asked_at = now;
@@ -231,7 +231,7 @@
     auto const now = Core::monotonic_now();
     auto const batch_age = Core::Duration(batch.age_ms);
     m_has_heard_peer = true;
-    auto const complete_at = m_follower.configuration_complete_at(now);
+    auto const complete_at = m_follower.configuration_complete_until(now);
     // A peer that is itself behind must not make this one believe that it is current.
     if (batch_age < age(now))
         m_follower.on_peer_facts(batch_age);
--- a/Services/DirectEntry/EntryFacts.h
+++ b/Services/DirectEntry/EntryFacts.h
@@ -9,7 +9,7 @@
 #include <LibPlatform/BadRecords.h>
 #include <LibPlatform/FactFollower.h>
 #include <LibPlatform/FactLog.h>
-#include <LibPlatform/KeptVersions.h>
+#include <LibPlatform/StoredVersions.h>
 #include <functional>
 #include <memory>
 #include <optional>
@@ -63,7 +63,7 @@
     Core::Duration configuration_age(Core::Time now) const { return m_follower.configuration_age(now); }
 
     /// A backend server was found to be another than the list says: the list is read again soon.
-    void on_servers_doubted() { m_follower.on_servers_doubted(); }
+    void on_server_list_mismatch() { m_follower.on_server_list_mismatch(); }
 
     /// An engine holds a version that nothing else has told of.
     void on_shown_version(std::string const& model, int64_t version);
@@ -79,11 +79,11 @@
 
 private:
     Platform::FactFollower::Callbacks follower_callbacks();
-    Platform::KeptVersions::Callbacks kept_callbacks();
+    Platform::StoredVersions::Callbacks kept_callbacks();
     void on_changed(Configuration::FactChanges const&);
     void take_known(std::vector<Configuration::KnownVersion> const&);
-    void on_failing(Configuration::FactTopic, Platform::FactLogFault);
-    void on_regained(Configuration::FactTopic, Core::Duration lost_for);
+    void on_read_failed(Configuration::FactTopic, Platform::FactLogFault);
+    void on_read_recovered(Configuration::FactTopic, Core::Duration lost_for);
     Schema::Message request() const;
     void ask_for_versions(std::string const& entry);
     bool may_ask_again(std::string const& entry, Core::Time now);
@@ -98,14 +98,14 @@
     bool m_has_heard_peer { false };
     Configuration::FactReplica m_replica;
     Platform::FactFollower m_follower;
-    Platform::KeptVersions m_kept;
+    Platform::StoredVersions m_kept;
     std::set<Configuration::FactTopic> m_failing;
     // Entries that were asked what they know of versions, since the start or since the log answers again.
     int m_asked_for_versions { 0 };
     // Since when others are known to have read further.
     std::optional<Core::Time> m_behind_since;
     Core::Time m_asked_at { 0 };
-    Platform::AskedPeers m_asked;
+    Platform::FactPeerSelector m_asked;
 };
 
 }
--- a/Services/DirectEntry/ProxiedRequest.cpp
+++ b/Services/DirectEntry/ProxiedRequest.cpp
@@ -269,7 +269,7 @@
     auto const version = m_context.servers.version_of(choice.id, now);
     m_send = std::make_shared<ServerSend>(ServerSend::Target { choice.id, server->address, version, m_context.servers.started_at_ms(choice.id) }, moment(now));
 
-    Platform::BackendTerms terms;
+    Platform::BackendRequestFields terms;
     terms.server_id = choice.id;
     terms.customer = m_customer;
     terms.remaining = deadline() - now;
@@ -284,7 +284,7 @@
     start_call(terms);
 }
 
-void ProxiedRequest::start_call(Platform::BackendTerms const& terms)
+void ProxiedRequest::start_call(Platform::BackendRequestFields const& terms)
 {
     Transport::BackendCallRequest call;
     std::tie(call.address, call.port) = Transport::split_address(m_send->target().address);
@@ -791,7 +791,7 @@
                                                                                              : Schema::Outcome::Unknown;
     auto const problem = refusal_problem(refusal, status, outcome, retry_after);
     remember_caller();
-    m_caller->reply(status, m_context.heads.own_answer(m_head.request_id, retry_after), Schema::to_text(problem));
+    m_caller->reply(status, m_context.heads.generated_answer_headers(m_head.request_id, retry_after), Schema::to_text(problem));
     finish(refusal, status);
 }
 
--- a/Services/DirectEntry/ProxiedRequest.h
+++ b/Services/DirectEntry/ProxiedRequest.h
@@ -68,7 +68,7 @@
     Routing::ServerNeeds needs();
     std::set<std::string> tried_servers() const;
     void send_to(Routing::ServerChoice const&, Core::Time now);
-    void start_call(Platform::BackendTerms const&);
+    void start_call(Platform::BackendRequestFields const&);
     void end_call();
     ServerSend::Moment moment(Core::Time now) const;
 
--- a/Services/EngineAgent/CopyKeeper.cpp
+++ b/Services/EngineAgent/CopyKeeper.cpp
@@ -337,7 +337,7 @@
 void CopyKeeper::order(int64_t version, Distribution::OrderLoad const& due)
 {
     auto const goal_at = m_older && m_older->goal.version == version ? m_older->goal_at : m_goal.named_at();
-    Core::log_event(Core::LogLevel::Info, "load_ordered", { { "version", std::to_string(version) }, { "expected_sequence", due.expected_sequence ? std::to_string(*due.expected_sequence) : "any" }, { "manner", due.manner == Platform::LoadManner::EvictRunning ? "evict" : "wait" }, { "running", std::to_string(m_report ? m_report->running : 0) }, { "after_ms", std::to_string((Core::monotonic_now() - goal_at).count()) } });
+    Core::log_event(Core::LogLevel::Info, "load_ordered", { { "version", std::to_string(version) }, { "expected_sequence", due.expected_sequence ? std::to_string(*due.expected_sequence) : "any" }, { "manner", due.manner == Platform::LoadMode::EvictRunning ? "evict" : "wait" }, { "running", std::to_string(m_report ? m_report->running : 0) }, { "after_ms", std::to_string((Core::monotonic_now() - goal_at).count()) } });
     m_metrics.count("mountbarrow_load_orders_total");
     m_engine.start(goal()->model, version, due.manner, due.expected_sequence, [this, version](Platform::OrderOutcome outcome) {
         Core::log_event(Core::LogLevel::Info, "load_answered", { { "version", std::to_string(version) }, { "outcome", std::to_string(static_cast<int>(outcome)) } });
--- a/Tests/LibDistribution/TestStagedLoad.cpp
+++ b/Tests/LibDistribution/TestStagedLoad.cpp
@@ -79,7 +79,7 @@
                     RC_ASSERT(at && now - *at <= settings.read_back_holds);
                 bool const is_taken = engine.take(2, order->expected_sequence.value());
                 bool const is_answered = *rc::gen::inRange(0, 4) != 0;
-                load.on_ordered(!is_answered ? Platform::OrderOutcome::Unknown : is_taken ? Platform::OrderOutcome::Taken
+                load.on_ordered(!is_answered ? Platform::OrderOutcome::Unknown : is_taken ? Platform::OrderOutcome::Accepted
                                                                                           : Platform::OrderOutcome::Refused,
                     now);
             }
@@ -292,7 +292,7 @@
     EXPECT_FALSE(order.has_value());
     run(20 + settings.drain_patience.count(), { .may_switch = true, .may_evict = true });
     ASSERT_TRUE(order.has_value());
-    EXPECT_EQ(order->manner, Platform::LoadManner::EvictRunning);
+    EXPECT_EQ(order->manner, Platform::LoadMode::EvictRunning);
 }
 
 TEST(StagedLoad, WhatMayNotGoOnElsewhereIsNeverCut)
@@ -314,7 +314,7 @@
         }
     }
     ASSERT_TRUE(order.has_value());
-    EXPECT_EQ(order->manner, Platform::LoadManner::WaitForRunning);
+    EXPECT_EQ(order->manner, Platform::LoadMode::WaitForRunning);
 }
 
 TEST(StagedLoad, AnEngineThatServesANewerVersionIsNotTurnedBack)
@@ -367,7 +367,7 @@
     load.on_report(born(1000, report(0, false, 0)), layers, Core::Time(0));
     std::optional<OrderLoad> order;
     finish_calls(load, Core::Time(1), order);
-    load.on_ordered(Platform::OrderOutcome::Taken, Core::Time(2));
+    load.on_ordered(Platform::OrderOutcome::Accepted, Core::Time(2));
     load.on_unreachable();
     load.on_report(born(2000, report(0, false, 0)), layers, Core::Time(100));
     EXPECT_FALSE(load.is_switching());
--- a/Tests/LibPlatform/TestAskedPeers.cpp
+++ b/Tests/LibPlatform/TestAskedPeers.cpp
@@ -8,7 +8,7 @@
 
 namespace {
 
-std::vector<Peer> const peers_of_two_regions { { "f1", Distance::Far }, { "n1", Distance::Near }, { "f2", Distance::Far }, { "n2", Distance::Near }, { "f3", Distance::Far } };
+std::vector<Peer> const peers_of_two_regions { { "f1", Distance::OtherRegion }, { "n1", Distance::SameRegion }, { "f2", Distance::OtherRegion }, { "n2", Distance::SameRegion }, { "f3", Distance::OtherRegion } };
 
 long count(std::vector<std::string> const& asked, char distance)
 {
@@ -17,33 +17,33 @@
 
 }
 
-TEST(AskedPeers, AListThatIsLateIsAskedOfThoseNearAlone)
+TEST(FactPeerSelector, TheServerListIsRequestedInTheSameRegionAfterFewFailures)
 {
-    AskedPeers asked;
+    FactPeerSelector asked;
     for (int i = 0; i < 2; ++i)
-        EXPECT_EQ(asked.on_failing(FactTopic::BackendServers, peers_of_two_regions), (std::vector<std::string> { "n1", "n2" }));
-    EXPECT_TRUE(asked.may_ask_linked(Distance::Near));
-    EXPECT_FALSE(asked.may_ask_linked(Distance::Far));
+        EXPECT_EQ(asked.on_read_failed(FactTopic::BackendServers, peers_of_two_regions), (std::vector<std::string> { "n1", "n2" }));
+    EXPECT_TRUE(asked.should_request_from_linked(Distance::SameRegion));
+    EXPECT_FALSE(asked.should_request_from_linked(Distance::OtherRegion));
 }
 
-TEST(AskedPeers, AListThatNobodyNearCanReadIsAskedOfThoseFar)
+TEST(FactPeerSelector, TheServerListIsRequestedInOtherRegionsAfterThreeFailures)
 {
-    AskedPeers asked;
+    FactPeerSelector asked;
     for (int i = 0; i < 2; ++i)
-        asked.on_failing(FactTopic::BackendServers, peers_of_two_regions);
-    EXPECT_EQ(count(asked.on_failing(FactTopic::BackendServers, peers_of_two_regions), 'f'), 1);
-    EXPECT_TRUE(asked.may_ask_linked(Distance::Far));
-    asked.on_regained(FactTopic::BackendServers);
-    EXPECT_FALSE(asked.may_ask_linked(Distance::Near));
-    EXPECT_EQ(count(asked.on_failing(FactTopic::BackendServers, peers_of_two_regions), 'f'), 0);
+        asked.on_read_failed(FactTopic::BackendServers, peers_of_two_regions);
+    EXPECT_EQ(count(asked.on_read_failed(FactTopic::BackendServers, peers_of_two_regions), 'f'), 1);
+    EXPECT_TRUE(asked.should_request_from_linked(Distance::OtherRegion));
+    asked.on_read_recovered(FactTopic::BackendServers);
+    EXPECT_FALSE(asked.should_request_from_linked(Distance::SameRegion));
+    EXPECT_EQ(count(asked.on_read_failed(FactTopic::BackendServers, peers_of_two_regions), 'f'), 0);
 }
 
-TEST(AskedPeers, TheOperatorsRecordsAreAskedOfOneFarAtOnce)
+TEST(FactPeerSelector, TheConfigurationIsRequestedInAnotherRegionAtTheFirstFailure)
 {
-    AskedPeers asked;
+    FactPeerSelector asked;
     std::vector<std::string> far;
     for (int i = 0; i < 3; ++i) {
-        auto const now = asked.on_failing(FactTopic::Configuration, peers_of_two_regions);
+        auto const now = asked.on_read_failed(FactTopic::Configuration, peers_of_two_regions);
         EXPECT_EQ(count(now, 'n'), 2);
         EXPECT_EQ(count(now, 'f'), 1);
         far.push_back(now.back());
@@ -51,18 +51,18 @@
     EXPECT_EQ(far, (std::vector<std::string> { "f1", "f2", "f3" }));
 }
 
-TEST(AskedPeers, WithNobodyNearThoseFarAreAskedAtOnce)
+TEST(FactPeerSelector, WithoutPeersInTheSameRegionOtherRegionsAreAskedAtOnce)
 {
-    AskedPeers asked;
+    FactPeerSelector asked;
     std::vector<Peer> const far { { "f1" }, { "f2" }, { "f3" }, { "f4" } };
-    EXPECT_EQ(asked.on_failing(FactTopic::BackendServers, far), (std::vector<std::string> { "f1", "f2", "f3" }));
-    EXPECT_TRUE(asked.on_failing(FactTopic::BackendServers, {}).empty());
+    EXPECT_EQ(asked.on_read_failed(FactTopic::BackendServers, far), (std::vector<std::string> { "f1", "f2", "f3" }));
+    EXPECT_TRUE(asked.on_read_failed(FactTopic::BackendServers, {}).empty());
 }
 
-TEST(AskedPeers, OneFarThatHasReadFurtherIsAskedAfterThoseNear)
+TEST(FactPeerSelector, NewerPeersInOtherRegionsAreAskedLaterThanThoseInTheSameRegion)
 {
-    EXPECT_FALSE(AskedPeers::may_ask_ahead(Distance::Near, Core::Duration(300)));
-    EXPECT_TRUE(AskedPeers::may_ask_ahead(Distance::Near, Core::Duration(400)));
-    EXPECT_FALSE(AskedPeers::may_ask_ahead(Distance::Far, Core::Duration(400)));
-    EXPECT_TRUE(AskedPeers::may_ask_ahead(Distance::Far, Core::Duration(1500)));
+    EXPECT_FALSE(FactPeerSelector::should_request_from_newer(Distance::SameRegion, Core::Duration(300)));
+    EXPECT_TRUE(FactPeerSelector::should_request_from_newer(Distance::SameRegion, Core::Duration(400)));
+    EXPECT_FALSE(FactPeerSelector::should_request_from_newer(Distance::OtherRegion, Core::Duration(400)));
+    EXPECT_TRUE(FactPeerSelector::should_request_from_newer(Distance::OtherRegion, Core::Duration(1500)));
 }
--- a/Tests/LibPlatform/TestFactFollower.cpp
+++ b/Tests/LibPlatform/TestFactFollower.cpp
@@ -11,8 +11,8 @@
 /// A log that refuses every call, and counts the calls.
 class RefusingLog final : public FactLog {
 public:
-    void read(Configuration::FactTopic, int64_t, ReadPatience, Callback callback) override { refuse(callback); }
-    void read_newest(Configuration::FactTopic, ReadPatience, Callback callback) override { refuse(callback); }
+    void read(Configuration::FactTopic, int64_t, ReadTimeouts, Callback callback) override { refuse(callback); }
+    void read_newest(Configuration::FactTopic, ReadTimeouts, Callback callback) override { refuse(callback); }
 
     int calls { 0 };
 
@@ -27,8 +27,8 @@
 /// A log that has no new records, and counts the reads of the list of backend servers.
 class QuietLog final : public FactLog {
 public:
-    void read(Configuration::FactTopic topic, int64_t, ReadPatience, Callback callback) override { answer(topic, callback); }
-    void read_newest(Configuration::FactTopic topic, ReadPatience, Callback callback) override { answer(topic, callback); }
+    void read(Configuration::FactTopic topic, int64_t, ReadTimeouts, Callback callback) override { answer(topic, callback); }
+    void read_newest(Configuration::FactTopic topic, ReadTimeouts, Callback callback) override { answer(topic, callback); }
 
     int list_reads { 0 };
 
@@ -45,27 +45,27 @@
 
 }
 
-TEST(FactFollower, AListThatIsDoubtedIsReadAgainOnceAndNotTooOften)
+TEST(FactFollower, AListMismatchCausesOneEarlyRead)
 {
     Core::EventLoop loop;
     QuietLog log;
     Configuration::FactReplica replica;
     FactFollowerSettings settings;
     settings.servers_interval = Core::Duration(60000);
-    settings.doubted_interval = Core::Duration(40);
+    settings.mismatch_interval = Core::Duration(40);
     Core::PauseWatch const pauses(loop);
-    FactFollower follower(loop, pauses, log, replica, settings, { .changed = [](auto const&) {}, .failing = [](auto, auto) {}, .regained = [](auto, auto) {}, .bad_record = [](auto const&) {} });
+    FactFollower follower(loop, pauses, log, replica, settings, { .changed = [](auto const&) {}, .read_failed = [](auto, auto) {}, .read_recovered = [](auto, auto) {}, .bad_record = [](auto const&) {} });
     follower.start();
     EXPECT_EQ(log.list_reads, 1);
     for (int i = 0; i < 100; ++i)
-        follower.on_servers_doubted();
+        follower.on_server_list_mismatch();
     EXPECT_EQ(log.list_reads, 1);
     auto const end = loop.after(Core::Duration(300), [&] { loop.stop(); });
     loop.run();
     EXPECT_EQ(log.list_reads, 2);
 }
 
-TEST(FactFollower, ALogThatTurnsCallsAwayIsAskedLessAndLess)
+TEST(FactFollower, ALogThatRefusesCallsIsRetriedWithBackoff)
 {
     Core::EventLoop loop;
     RefusingLog log;
@@ -75,7 +75,7 @@
     settings.retry_interval = Core::Duration(10);
     settings.longest_retry_interval = Core::Duration(80);
     Core::PauseWatch const pauses(loop);
-    FactFollower follower(loop, pauses, log, replica, settings, { .changed = [](auto const&) {}, .failing = [&](auto, auto) { told += 1; }, .regained = [](auto, auto) {}, .bad_record = [](auto const&) {} });
+    FactFollower follower(loop, pauses, log, replica, settings, { .changed = [](auto const&) {}, .read_failed = [&](auto, auto) { told += 1; }, .read_recovered = [](auto, auto) {}, .bad_record = [](auto const&) {} });
     follower.start();
     auto const end = loop.after(Core::Duration(400), [&] { loop.stop(); });
     loop.run();
@@ -92,12 +92,12 @@
 public:
     struct Read {
         Configuration::FactTopic topic;
-        ReadPatience patience;
+        ReadTimeouts timeouts;
         Callback callback;
     };
 
-    void read(Configuration::FactTopic topic, int64_t, ReadPatience patience, Callback callback) override { reads.push_back({ topic, patience, std::move(callback) }); }
-    void read_newest(Configuration::FactTopic topic, ReadPatience patience, Callback callback) override { reads.push_back({ topic, patience, std::move(callback) }); }
+    void read(Configuration::FactTopic topic, int64_t, ReadTimeouts timeouts, Callback callback) override { reads.push_back({ topic, timeouts, std::move(callback) }); }
+    void read_newest(Configuration::FactTopic topic, ReadTimeouts timeouts, Callback callback) override { reads.push_back({ topic, timeouts, std::move(callback) }); }
 
     /// Removes and returns the read of the operator's records that is in flight.
     Read take_configuration_read()
@@ -145,31 +145,31 @@
         return page;
     }
 
-    void read_anew() { m_follower.read_anew(); }
+    void restart_reads() { m_follower.restart_reads(); }
     bool was_read_since(Core::Time time) const { return m_follower.read_at() >= time; }
     HeldLog& log() { return m_log; }
 
     Configuration::NamedVersion const& newest() const { return m_replica.versions().at("m").versions.back(); }
 
-    int regained { 0 };
+    int read_recovered { 0 };
 
 private:
     Core::EventLoop m_loop;
     Core::PauseWatch m_pauses { m_loop };
     HeldLog m_log;
     Configuration::FactReplica m_replica;
-    FactFollower m_follower { m_loop, m_pauses, m_log, m_replica, {}, { .changed = [](auto const&) {}, .failing = [](auto, auto) {}, .regained = [this](auto, auto) { regained += 1; }, .bad_record = [](auto const&) {} } };
+    FactFollower m_follower { m_loop, m_pauses, m_log, m_replica, {}, { .changed = [](auto const&) {}, .read_failed = [](auto, auto) {}, .read_recovered = [this](auto, auto) { read_recovered += 1; }, .bad_record = [](auto const&) {} } };
     std::unique_ptr<Core::Timer> m_poll;
 };
 
 }
 
-TEST(FactFollower, AVersionReadPastASilentReadCountsFromThatReadsBeginning)
+TEST(FactFollower, AVersionReadAfterAnUnansweredReadIsDatedToTheStartOfThatRead)
 {
     HeldFollower follower;
     auto const silent = follower.next_read();
     auto const begun_by = Core::monotonic_now();
-    EXPECT_GT(silent.patience.wait.count(), 0);
+    EXPECT_GT(silent.timeouts.wait.count(), 0);
     silent.callback(tl::unexpected(FactLogFault::Unavailable));
     follower.next_read().callback(HeldFollower::naming(2, 0));
     EXPECT_TRUE(follower.newest().named);
@@ -182,7 +182,7 @@
     EXPECT_GE(*follower.newest().named, followed_from);
 }
 
-TEST(FactFollower, AVersionReadPastSeveralFaultsCountsFromTheFirst)
+TEST(FactFollower, AVersionReadAfterSeveralFailuresIsDatedToTheFirst)
 {
     for (auto const second : { FactLogFault::Unavailable, FactLogFault::Refused, FactLogFault::HistoryGone }) {
         HeldFollower follower;
@@ -206,7 +206,7 @@
     EXPECT_GE(*follower.newest().named, away_until);
 }
 
-TEST(FactFollower, WhatComesWithTheNextPartOfAnAnswerMayBeAsOldAsTheFirst)
+TEST(FactFollower, RecordsOfTheNextPageMayBeAsOldAsThoseOfTheFirst)
 {
     HeldFollower follower;
     auto const hung = follower.next_read();
@@ -223,7 +223,7 @@
     EXPECT_LE(*follower.newest().named, known_until);
 }
 
-TEST(FactFollower, AReadAnsweredWithNothingAmidAPauseHidesWhatCameAfterIt)
+TEST(FactFollower, AnEmptyAnswerDuringAPauseDoesNotDateTheNextRecord)
 {
     HeldFollower follower;
     auto const parked = follower.next_read();
@@ -234,20 +234,20 @@
     EXPECT_LE(*follower.newest().named, paused_at);
 }
 
-TEST(FactFollower, AfterAReadThatBroughtNothingTheNextOnesWaitForNothing)
+TEST(FactFollower, AfterAFailedReadTheNextOnesDoNotWaitForRecords)
 {
     HeldFollower follower;
     for (int i = 0; i < 3; ++i) {
         auto const read = follower.next_read();
-        EXPECT_EQ(read.patience.wait.count() > 0, i == 0);
+        EXPECT_EQ(read.timeouts.wait.count() > 0, i == 0);
         read.callback(tl::unexpected(FactLogFault::Unavailable));
     }
-    EXPECT_EQ(follower.regained, 0);
+    EXPECT_EQ(follower.read_recovered, 0);
     auto const probe = follower.next_read();
-    EXPECT_EQ(probe.patience.wait.count(), 0);
+    EXPECT_EQ(probe.timeouts.wait.count(), 0);
     probe.callback(FactPage {});
-    EXPECT_EQ(follower.regained, 1);
-    EXPECT_GT(follower.next_read().patience.wait.count(), 0);
+    EXPECT_EQ(follower.read_recovered, 1);
+    EXPECT_GT(follower.next_read().timeouts.wait.count(), 0);
 }
 
 TEST(FactFollower, AVersionOfTheFirstReadHasNoDate)
@@ -256,14 +256,14 @@
     HeldLog log;
     Configuration::FactReplica replica;
     Core::PauseWatch const pauses(loop);
-    FactFollower follower(loop, pauses, log, replica, {}, { .changed = [](auto const&) {}, .failing = [](auto, auto) {}, .regained = [](auto, auto) {}, .bad_record = [](auto const&) {} });
+    FactFollower follower(loop, pauses, log, replica, {}, { .changed = [](auto const&) {}, .read_failed = [](auto, auto) {}, .read_recovered = [](auto, auto) {}, .bad_record = [](auto const&) {} });
     follower.start();
     log.take_configuration_read().callback(HeldFollower::naming(2, 0));
     EXPECT_FALSE(replica.versions().at("m").versions.back().named);
     EXPECT_TRUE(replica.versions().at("m").has_undated());
 }
 
-TEST(FactFollower, AVersionReadAfterAPauseCountsFromThePausesBeginning)
+TEST(FactFollower, AVersionReadAfterAPauseIsDatedToTheStartOfThePause)
 {
     HeldFollower follower;
     auto const parked = follower.next_read();
@@ -273,31 +273,31 @@
     EXPECT_LE(*follower.newest().named, paused_at);
 }
 
-TEST(FactFollower, AfterAPauseAllIsReadAnewAndWhatWasBeingReadIsPassedOver)
+TEST(FactFollower, AfterAPauseReadsRestartAndEarlierAnswersAreIgnored)
 {
     HeldFollower follower;
     auto const before = follower.next_read();
     auto const begun_by = Core::monotonic_now();
-    follower.read_anew();
+    follower.restart_reads();
     ASSERT_TRUE(follower.log().has_configuration_read());
     auto const anew = follower.log().take_configuration_read();
-    EXPECT_EQ(anew.patience.wait.count(), 0) << "a read after a pause must not wait for a record";
+    EXPECT_EQ(anew.timeouts.wait.count(), 0) << "a read after a pause must not wait for a record";
     before.callback(HeldFollower::naming(2, 0));
     anew.callback(HeldFollower::naming(3, 1));
     EXPECT_EQ(follower.newest().version, 3);
     EXPECT_EQ(follower.newest().named.has_value() ? follower.newest().named.value() <= begun_by : true, true) << "the version may have been named during the pause";
 }
 
-TEST(FactFollower, TheHistoryIsReadOnceAtTheStartBeforeAnythingIsInForce)
+TEST(FactFollower, TheHistoryIsReadOnceAtTheStartBeforeFactsAreApplied)
 {
     class LogWithHistory final : public FactLog {
     public:
-        void read(Configuration::FactTopic, int64_t, ReadPatience, Callback) override { }
-        void read_newest(Configuration::FactTopic topic, ReadPatience, Callback callback) override
+        void read(Configuration::FactTopic, int64_t, ReadTimeouts, Callback) override { }
+        void read_newest(Configuration::FactTopic topic, ReadTimeouts, Callback callback) override
         {
             callback(topic == Configuration::FactTopic::Configuration ? HeldFollower::naming(2, 9) : FactPage {});
         }
-        void read_history(Configuration::FactTopic, int64_t end, ReadPatience, Callback callback) override
+        void read_history(Configuration::FactTopic, int64_t end, ReadTimeouts, Callback callback) override
         {
             EXPECT_EQ(end, 10);
             reads += 1;
@@ -310,7 +310,7 @@
     LogWithHistory log;
     Configuration::FactReplica replica;
     std::vector<Configuration::FactChanges> told;
-    FactFollower follower(loop, pauses, log, replica, {}, { .changed = [&](auto const& changes) { told.push_back(changes); }, .failing = [](auto, auto) {}, .regained = [](auto, auto) {}, .bad_record = [](auto const&) {} });
+    FactFollower follower(loop, pauses, log, replica, {}, { .changed = [&](auto const& changes) { told.push_back(changes); }, .read_failed = [](auto, auto) {}, .read_recovered = [](auto, auto) {}, .bad_record = [](auto const&) {} });
     follower.start();
     EXPECT_EQ(log.reads, 1);
     ASSERT_EQ(told.size(), 1u);
--- a/Tests/LibPlatform/TestKeptBlames.cpp
+++ b/Tests/LibPlatform/TestStoredBlames.cpp
@@ -1,5 +1,5 @@
 // SPDX-License-Identifier: BSD-2-Clause
-#include <LibPlatform/KeptBlames.h>
+#include <LibPlatform/StoredBlames.h>
 #include <LibPlatform/WriterTurns.h>
 #include <gtest/gtest.h>
 #include <map>
@@ -23,7 +23,7 @@
     {
     }
 
-    void read(ReadPatience, ReadCallback callback) override
+    void read(ReadTimeouts, ReadCallback callback) override
     {
         m_shared.reads += 1;
         if (m_shared.is_away) {
@@ -44,7 +44,7 @@
         callback(!m_shared.is_away);
     }
 
-    void forget(std::vector<std::string> const& digests, std::function<void(bool)> callback) override
+    void remove_blames(std::vector<std::string> const& digests, std::function<void(bool)> callback) override
     {
         for (auto const& digest : digests)
             m_shared.records.erase(digest);
@@ -66,7 +66,7 @@
 
     Core::Metrics metrics;
     std::vector<Schema::CrashSuspect> known;
-    KeptBlames kept;
+    StoredBlames kept;
 };
 
 Schema::CrashSuspect blamed(std::string const& digest, int64_t ms_ago = 0)
@@ -87,11 +87,11 @@
 
 }
 
-TEST(KeptBlames, AProcessThatStartsKnowsWhatWasBlamedBefore)
+TEST(StoredBlames, AStartingProcessReadsStoredBlames)
 {
     Core::EventLoop loop;
     SharedBlames shared;
-    Process(loop, shared, "a", {}).kept.keep(blamed("d", 5000));
+    Process(loop, shared, "a", {}).kept.store_blame(blamed("d", 5000));
     Process second(loop, shared, "b", {});
     ASSERT_EQ(second.known.size(), 1u);
     EXPECT_EQ(second.known[0].digest, "d");
@@ -99,7 +99,7 @@
     EXPECT_EQ(second.known[0].ends.at(0).server, "s1@1");
 }
 
-TEST(KeptBlames, TwoOfTheLinkedEntriesWriteABlameDown)
+TEST(StoredBlames, TwoLinkedEntriesStoreABlame)
 {
     Core::EventLoop loop;
     SharedBlames shared;
@@ -111,25 +111,25 @@
         processes.push_back(std::make_unique<Process>(loop, shared, identity, others));
     }
     for (auto const& process : processes)
-        process->kept.keep(blamed("d"));
+        process->kept.store_blame(blamed("d"));
     run_for(loop, Core::Duration(50));
     EXPECT_EQ(shared.writes, 2);
 }
 
-TEST(KeptBlames, AWriteThatFailedIsTriedAgain)
+TEST(StoredBlames, AWriteThatFailedIsTriedAgain)
 {
     Core::EventLoop loop;
     SharedBlames shared;
     Process process(loop, shared, "a", {});
     shared.is_away = true;
-    process.kept.keep(blamed("d"));
+    process.kept.store_blame(blamed("d"));
     EXPECT_TRUE(shared.records.empty());
     shared.is_away = false;
     run_for(loop, Core::Duration(700));
     EXPECT_EQ(shared.records.size(), 1u);
 }
 
-TEST(KeptBlames, AReadThatFailedIsTriedAgainAndOthersComeSeldom)
+TEST(StoredBlames, AFailedReadIsRetriedAndFurtherReadsAreLimited)
 {
     Core::EventLoop loop;
     SharedBlames shared;
@@ -139,12 +139,12 @@
     shared.is_away = false;
     run_for(loop, Core::Duration(400));
     EXPECT_EQ(shared.reads, 2);
-    process.kept.read_soon();
-    process.kept.read_soon();
+    process.kept.read_unless_recent();
+    process.kept.read_unless_recent();
     EXPECT_EQ(shared.reads, 2) << "the last read was less than 2 s ago";
 }
 
-TEST(KeptBlames, WhatIsOldOrTooManyIsDropped)
+TEST(StoredBlames, ExpiredAndSurplusBlamesAreRemoved)
 {
     Core::EventLoop loop;
     SharedBlames shared;
@@ -160,14 +160,14 @@
     EXPECT_FALSE(shared.records.contains("old"));
 }
 
-TEST(KeptBlames, ABlameThatIsTakenBackIsGoneFromTheStore)
+TEST(StoredBlames, ARemovedBlameIsRemovedFromTheStore)
 {
     Core::EventLoop loop;
     SharedBlames shared;
     Process process(loop, shared, "a", {});
-    process.kept.keep(blamed("d"));
-    process.kept.forget("d");
+    process.kept.store_blame(blamed("d"));
+    process.kept.remove_blame("d");
     EXPECT_TRUE(shared.records.empty());
-    process.kept.keep(blamed("d"));
+    process.kept.store_blame(blamed("d"));
     EXPECT_EQ(shared.records.size(), 1u) << "a request whose blame was removed may be blamed again";
 }
--- a/Tests/LibPlatform/TestKeptVersions.cpp
+++ b/Tests/LibPlatform/TestStoredVersions.cpp
@@ -1,6 +1,6 @@
 // SPDX-License-Identifier: BSD-2-Clause
 #include <LibCore/Hash.h>
-#include <LibPlatform/KeptVersions.h>
+#include <LibPlatform/StoredVersions.h>
 #include <gtest/gtest.h>
 #include <map>
 #include <set>
@@ -28,7 +28,7 @@
     {
     }
 
-    void read(ReadPatience, ReadCallback callback) override
+    void read(ReadTimeouts, ReadCallback callback) override
     {
         m_shared.reads += 1;
         if (m_shared.is_away) {
@@ -72,14 +72,14 @@
         auto const now = Core::monotonic_now();
         m_revision += 1;
         facts.on_records(Configuration::FactTopic::Configuration, { { Schema::FactKind::ModelVersion, "version/m", m_revision, Schema::ModelVersion { .model = "m", .version = version } } }, m_revision + 1, { now, now });
-        kept.keep_new();
+        kept.store_new_versions();
     }
 
     int64_t newest() const { return facts.versions().contains("m") ? facts.versions().at("m").newest() : 0; }
 
     Core::Metrics metrics;
     Configuration::FactReplica facts;
-    KeptVersions kept;
+    StoredVersions kept;
     bool is_started { false };
 
 private:
@@ -106,7 +106,7 @@
 
 }
 
-TEST(KeptVersions, AProcessThatStartsKnowsWhatThoseBeforeItKnew)
+TEST(StoredVersions, AStartingProcessReadsStoredVersions)
 {
     Core::EventLoop loop;
     SharedRecords shared;
@@ -126,7 +126,7 @@
     EXPECT_EQ(second.newest(), 3);
 }
 
-TEST(KeptVersions, TwoOfTheLinkedEntriesWriteAVersionDown)
+TEST(StoredVersions, TwoLinkedEntriesStoreAVersion)
 {
     Core::EventLoop loop;
     SharedRecords shared;
@@ -139,7 +139,7 @@
     EXPECT_EQ(shared.records.size(), 1u);
 }
 
-TEST(KeptVersions, WhatCouldNotBeReadOrWrittenIsTriedAgain)
+TEST(StoredVersions, FailedReadsAndWritesAreRetried)
 {
     Core::EventLoop loop;
     SharedRecords shared;
@@ -162,7 +162,7 @@
     EXPECT_TRUE(shared.records.contains({ "m", 5 }));
 }
 
-TEST(KeptVersions, OnlyTheNewestOfAModelAreKept)
+TEST(StoredVersions, OnlyTheNewestVersionsOfAModelAreStored)
 {
     Core::EventLoop loop;
     SharedRecords shared;
@@ -176,7 +176,7 @@
     EXPECT_FALSE(shared.records.contains({ "m", 24 }));
 }
 
-TEST(KeptVersions, AVersionIsWrittenDownByOthersWhereTheStoreTurnsAwayThoseWhoseTurnItIs)
+TEST(StoredVersions, FallbackEntriesStoreAVersionIfTheStoreRefusesTheFirstWriters)
 {
     Core::EventLoop loop;
     SharedRecords shared;
@@ -190,7 +190,7 @@
     EXPECT_TRUE(shared.records.contains({ "m", 3 }));
 }
 
-TEST(KeptVersions, AVersionThatWasNamedJustBeforeARestartKeepsItsBound)
+TEST(StoredVersions, AVersionNamedJustBeforeARestartKeepsItsDeadline)
 {
     Core::EventLoop loop;
     SharedRecords shared;
@@ -201,12 +201,12 @@
     }
     Process second(loop, shared, "b", {});
     second.learn(2);
-    // The time after which a version without a date must be served has passed since the start, but the deadline is far off.
+    // 3 s after the start, the time for which a version without a date is excused (2.5 s) is over, but the deadline (6.5 s) is not.
     auto const soon = Core::monotonic_now() + Core::Duration(3000);
     EXPECT_EQ(second.facts.versions().at("m").newest_of(soon - Core::Duration(6500), soon - Core::Duration(2500)), 0);
 }
 
-TEST(KeptVersions, AnInstanceWhoseTimeOfDayIsBehindDatesNoVersionBeforeItsNaming)
+TEST(StoredVersions, ASlowClockDoesNotDateAVersionBeforeItWasNamed)
 {
     Core::EventLoop loop;
     SharedRecords shared;
--- a/Tests/Platform/TestAdapter.cpp
+++ b/Tests/Platform/TestAdapter.cpp
@@ -27,9 +27,9 @@
     EXPECT_EQ(caller.answer_tokens, 80);
 }
 
-TEST(RequestHeads, WhatTheSystemSetsIsOverwrittenAndTheKeyStaysBehind)
+TEST(RequestHeads, TheSystemsHeadersAreOverwrittenAndTheKeyIsRemoved)
 {
-    Platform::BackendTerms terms;
+    Platform::BackendRequestFields terms;
     terms.server_id = "i-1";
     terms.customer = "bozi";
     terms.remaining = Core::Duration(1234);
@@ -42,7 +42,7 @@
         EXPECT_NE(request.find(there), std::string::npos) << there;
 }
 
-TEST(RequestHeads, AnAnswersHeadIsPassedOnWithoutWhatConcernsItsConnection)
+TEST(RequestHeads, AnAnswersHeadIsForwardedWithoutHopByHopHeaders)
 {
     Transport::MessageHead head;
     head.status = 200;
@@ -54,7 +54,7 @@
     EXPECT_EQ(answer.headers, (Transport::HttpHeaders { { "X-Request-Id", "r1" }, { "X-Response-Seal", "seal" }, { "X-Weight-Versions", "3" } }));
 }
 
-TEST(RequestHeads, OnlyTheServersOwnWordSaysThatNothingRan)
+TEST(RequestHeads, OnlyTheServersStatementMeansThatTheRequestDidNotRun)
 {
     Transport::MessageHead head;
     head.status = 503;
@@ -93,7 +93,7 @@
   "Limits":{"MaxHeaderBytes":100,"MaxBodyBytes":200,"HeaderTimeoutMs":300,"IdleTimeoutMs":400},
   "Tenants":[{"Name":"c","ApiKeys":["k"],"Priority":1}],"Unknown":{"field":1}})";
 
-TEST(Records, AConfigurationBecomesTheProductsOwn)
+TEST(Records, AConfigurationIsDecoded)
 {
     auto const configuration = read_configuration(configuration_body, CustomerKeys::Expected);
     ASSERT_TRUE(configuration.has_value()) << configuration.error().detail;
@@ -109,7 +109,7 @@
     EXPECT_EQ(configuration->idle_timeout_ms, 400);
 }
 
-TEST(Records, WhatCannotBeReadIsATypedErrorAndNoFact)
+TEST(Records, UndecodableRecordsAreTypedErrorsAndNotFacts)
 {
     EXPECT_EQ(read_configuration("nonsense", CustomerKeys::NotExpected).error().code, Core::ErrorCode::MalformedJson);
     EXPECT_EQ(read_configuration(R"({"Version":"x","Routes":[],"Services":[]})", CustomerKeys::NotExpected).error().code, Core::ErrorCode::UnreadableField);
@@ -144,7 +144,7 @@
     EXPECT_TRUE(read_report(R"({"Busy":false})")->held.empty());
 }
 
-TEST(Records, TheStartOfAnIncarnationIsReadWhereItIsTold)
+TEST(Records, TheStartOfAnIncarnationIsOptional)
 {
     EXPECT_EQ(read_server("i-1", R"({"Service":"s","Address":"10.0.0.9:80","State":"ready","born":1796600000123})")->started_at_ms, 1796600000123);
     EXPECT_EQ(read_report(R"({"Busy":false,"CallSeq":2,"born":1796600000123})")->started_at_ms, 1796600000123);
@@ -154,7 +154,7 @@
     EXPECT_EQ(read_report(R"({"Busy":false,"CallSeq":2})")->started_at_ms, std::nullopt);
 }
 
-TEST(Records, AStateThatIsNoneOfThePagesIsNoted)
+TEST(Records, AnUndocumentedStateIsReported)
 {
     auto const server = read_server("i-1", R"({"Service":"s","Address":"10.0.0.9:80","Zone":"z","Slots":1,"State":"resting"})");
     EXPECT_TRUE(server->is_draining);
--- a/Tests/Platform/TestBadRecords.cpp
+++ b/Tests/Platform/TestBadRecords.cpp
@@ -93,7 +93,7 @@
         for (size_t i = 0; i < bodies.size(); ++i)
             PlatformAdapter::add_record(Configuration::FactTopic::BackendServers, PlatformAdapter::CustomerKeys::NotExpected, "i-" + std::to_string(i), m_revision++, bodies[i], page);
         for (auto const& record : page.bad) {
-            bad.note(record);
+            bad.report_record(record);
             page.facts.push_back({ Schema::FactKind::BackendServer, record.key, record.revision, Configuration::Unreadable {} });
         }
         replica.on_records(Configuration::FactTopic::BackendServers, page.facts, m_revision, { Core::Time(0), {} });
@@ -131,9 +131,9 @@
     Core::Metrics metrics;
     BadRecords records(metrics);
     for (int i = 0; i < thousand; ++i) {
-        records.note(bad("i-1", Core::ErrorCode::UnreadableField, i));
-        records.note(bad("i-1", Core::ErrorCode::MalformedJson, i));
-        records.note(bad("i-2", Core::ErrorCode::UnreadableField, i));
+        records.report_record(bad("i-1", Core::ErrorCode::UnreadableField, i));
+        records.report_record(bad("i-1", Core::ErrorCode::MalformedJson, i));
+        records.report_record(bad("i-2", Core::ErrorCode::UnreadableField, i));
     }
     EXPECT_EQ(log.lines("bad_record").size(), 3u);
     EXPECT_NE(log.lines("bad_record")[0].find(R"("key":"i-1","revision":"0","reason":"unreadable_field","detail":"State")"), std::string::npos);
@@ -146,13 +146,13 @@
     LogFile const log;
     Core::Metrics metrics;
     BadRecords records(metrics);
-    auto const count = 3 * BadRecords::most_remembered;
+    auto const count = 3 * BadRecords::max_logged;
     for (int again = 0; again < 2; ++again) {
         for (size_t i = 0; i < count; ++i)
-            records.note(bad("\xff" + std::to_string(i), Core::ErrorCode::MalformedJson, 1));
+            records.report_record(bad("\xff" + std::to_string(i), Core::ErrorCode::MalformedJson, 1));
     }
-    EXPECT_EQ(records.remembered(), BadRecords::most_remembered);
-    EXPECT_EQ(log.lines("bad_record").size(), BadRecords::most_remembered);
+    EXPECT_EQ(records.logged_count(), BadRecords::max_logged);
+    EXPECT_EQ(log.lines("bad_record").size(), BadRecords::max_logged);
     // The log itself says that there are more than it names.
     EXPECT_EQ(log.lines("bad_records_not_named").size(), 1u);
     EXPECT_EQ(metrics.counter("mountbarrow_bad_records_total", "reason=\"malformed_json\""), 2 * count);
--- a/Tests/Platform/TestEngineCalls.cpp
+++ b/Tests/Platform/TestEngineCalls.cpp
@@ -33,7 +33,7 @@
     std::vector<bool> m_reports;
 };
 
-TEST_F(EngineCallsTest, OneReportLostOnASilentConnectionDoesNotMakeTheEngineUnreachable)
+TEST_F(EngineCallsTest, OneUnansweredReportDoesNotMakeTheEngineUnreachable)
 {
     m_silent_up_to = 1;
     ask();
@@ -41,14 +41,14 @@
     EXPECT_EQ(m_asked, 2u);
 }
 
-TEST_F(EngineCallsTest, AnEngineThatStandsStillIsFoundUnreachable)
+TEST_F(EngineCallsTest, AnEngineThatDoesNotAnswerIsUnreachable)
 {
     m_silent_up_to = 100;
     ask();
     EXPECT_EQ(m_reports, std::vector<bool> { false });
 }
 
-TEST_F(EngineCallsTest, AnEngineThatIsGoneIsAskedOnce)
+TEST_F(EngineCallsTest, ATerminatedEngineIsQueriedOnce)
 {
     m_server.reset();
     ask();
--- a/Tests/Platform/TestForeignRecords.cpp
+++ b/Tests/Platform/TestForeignRecords.cpp
@@ -61,8 +61,8 @@
 /// A log that answers each read with the next of its pages.
 class PagedLog final : public Platform::FactLog {
 public:
-    void read(FactTopic topic, int64_t, Platform::ReadPatience, Callback callback) override { answer(topic, callback); }
-    void read_newest(FactTopic topic, Platform::ReadPatience, Callback callback) override { answer(topic, callback); }
+    void read(FactTopic topic, int64_t, Platform::ReadTimeouts, Callback callback) override { answer(topic, callback); }
+    void read_newest(FactTopic topic, Platform::ReadTimeouts, Callback callback) override { answer(topic, callback); }
 
     std::vector<Answer> pages;
     size_t next { 0 };
@@ -86,7 +86,7 @@
         log.pages = std::move(pages);
         Platform::FactFollowerSettings settings;
         settings.servers_interval = Core::Duration(0);
-        Platform::FactFollower follower(loop, pauses, log, replica, settings, { .changed = [](auto const&) {}, .failing = [](auto, auto) {}, .regained = [](auto, auto) {}, .bad_record = [this](auto const& record) { bad.push_back(record); } });
+        Platform::FactFollower follower(loop, pauses, log, replica, settings, { .changed = [](auto const&) {}, .read_failed = [](auto, auto) {}, .read_recovered = [](auto, auto) {}, .bad_record = [this](auto const& record) { bad.push_back(record); } });
         follower.start();
         auto const poll = loop.every(Core::Duration(1), [&] {
             if (log.next >= log.pages.size())
@@ -389,12 +389,12 @@
     {
         HttpFactLog log(m_loop, "127.0.0.1:" + std::to_string(m_server->port()), CustomerKeys::NotExpected);
         std::optional<tl::expected<Platform::FactPage, Platform::FactLogFault>> result;
-        Platform::ReadPatience const patience { .wait = Core::Duration(0), .answer = Core::Duration(10000) };
+        Platform::ReadTimeouts const timeouts { .wait = Core::Duration(0), .answer = Core::Duration(10000) };
         auto const take = [&](auto page) { result = std::move(page); };
         if (is_listing)
-            log.read_newest(FactTopic::BackendServers, patience, take);
+            log.read_newest(FactTopic::BackendServers, timeouts, take);
         else
-            log.read(FactTopic::BackendServers, 0, patience, take);
+            log.read(FactTopic::BackendServers, 0, timeouts, take);
         run_until([&] { return result.has_value() || calls > most_calls; });
         return result.value_or(tl::unexpected(Platform::FactLogFault::Unavailable));
     }
