--- a/Tests/Platform/ForeignJson.h
+++ b/Tests/Platform/ForeignJson.h
@@ -25,7 +25,7 @@
     return *rc::gen::arbitrary<std::string>();
 }
 
-/// Every field of a record, with those within them.
+/// Returns the paths of all fields of a record, nested ones included.
 inline std::vector<std::string> paths_of(nlohmann::json const& record)
 {
     std::vector<std::string> paths;
@@ -41,11 +41,11 @@
 
 inline std::string as_bytes(nlohmann::json const& record)
 {
-    // Bytes that are no UTF-8 come in where bytes are changed.
+    // Bytes that are not UTF-8 are added by foreign(), which changes the bytes.
     return record.dump(-1, ' ', false, nlohmann::json::error_handler_t::ignore);
 }
 
-/// What another writer may have made of a record.
+/// Generates a record as another writer may have damaged it: fields removed or replaced, bytes cut off or changed.
 inline std::string foreign(nlohmann::json record)
 {
     auto const changes = *rc::gen::inRange(0, 3);
--- a/Tests/Platform/StoreListing.h
+++ b/Tests/Platform/StoreListing.h
@@ -7,7 +7,7 @@
 #include <string>
 #include <vector>
 
-/// Answers of the store that list the newest record of each key.
+/// Builds answers of the store that list the newest record of each key.
 
 inline std::string to_base64(std::string const& bytes)
 {
--- a/Tests/Platform/TestBadRecords.cpp
+++ b/Tests/Platform/TestBadRecords.cpp
@@ -15,7 +15,7 @@
 
 constexpr int thousand = 1000;
 
-/// Directs the log to a file of its own for as long as it lives.
+/// Redirects the log to a temporary file during its lifetime.
 class LogFile {
 public:
     LogFile()
@@ -27,7 +27,7 @@
 
     ~LogFile()
     {
-        // Other tests log nothing.
+        // Discards what other tests log.
         Core::configure_log("test", Core::LogLevel::Error, "/dev/null");
         std::filesystem::remove(m_path);
     }
@@ -55,7 +55,7 @@
     return { key, revision, { code, "State" } };
 }
 
-/// Processor time of this thread, nanoseconds.
+/// Processor time of this thread in nanoseconds.
 int64_t processor_time()
 {
     timespec time {};
@@ -68,7 +68,7 @@
     return R"({"Service":"s","Address":"10.0.)" + std::to_string(number / 250) + "." + std::to_string(number % 250) + R"(:80","Zone":"z","Version":"v1","Slots":16,"State":"ready","ColdLeftMs":0,"Stage":"both","Models":[{"Name":"m","Version":3,"Adapters":[]}],"layers":{"From":0,"TargetVersion":16,"Version":3},"CallSeq":4})";
 }
 
-/// One of the ways in which another writer's record cannot be read.
+/// Returns a record that cannot be decoded, in one of four ways.
 std::string foreign_body(int number)
 {
     auto const body = good_body(number);
@@ -84,7 +84,7 @@
     }
 }
 
-/// What a process does with one reading of the list.
+/// Decodes and applies the records of one read of the list, as a process does.
 class Reader {
 public:
     void read(std::vector<std::string> const& bodies)
@@ -107,7 +107,7 @@
     int64_t m_revision { 0 };
 };
 
-/// The least processor time of several readings.
+/// Returns the shortest processor time, in nanoseconds, of several reads of `repeated`.
 int64_t least_time(std::vector<std::string> const& first, std::vector<std::string> const& repeated)
 {
     static constexpr int readings = 7;
@@ -153,7 +153,7 @@
     }
     EXPECT_EQ(records.logged_count(), BadRecords::max_logged);
     EXPECT_EQ(log.lines("bad_record").size(), BadRecords::max_logged);
-    // The log itself says that there are more than it names.
+    // A log line states that further records are not logged.
     EXPECT_EQ(log.lines("bad_records_not_named").size(), 1u);
     EXPECT_EQ(metrics.counter("mountbarrow_bad_records_total", "reason=\"malformed_json\""), 2 * count);
 }
@@ -169,6 +169,6 @@
     }
     auto const cost_of_good = least_time(good, good);
     EXPECT_LE(least_time(foreign, foreign), cost_of_good);
-    // The same where each is the newest record of a server that is known.
+    // The same if each is the newest record of a known server.
     EXPECT_LE(least_time(good, foreign), cost_of_good);
 }
--- a/Tests/Platform/TestBlameRecords.cpp
+++ b/Tests/Platform/TestBlameRecords.cpp
@@ -8,7 +8,7 @@
 #include <optional>
 #include <rapidcheck/gtest.h>
 
-// What is kept of blamed requests may come from another writer too.
+// Another writer may have written the stored blames.
 
 using namespace PlatformAdapter;
 using Json = nlohmann::json;
@@ -62,11 +62,11 @@
     RC_ASSERT(read->blames.back().digest == "c");
 }
 
-// What an entry that starts reads of the operator's history, beside the newest records.
+// The history of the operator's records, which a starting entry reads in addition to the newest records.
 
 namespace {
 
-/// A store of the operator's records, which holds those from an offset on.
+/// A store of the operator's records, which still has the records from the offset `first` on.
 class HistoryStore {
 public:
     HistoryStore(Core::EventLoop& loop, std::vector<std::pair<std::string, std::string>> records, int64_t first)
--- a/Tests/Platform/TestFieldFaults.cpp
+++ b/Tests/Platform/TestFieldFaults.cpp
@@ -8,8 +8,8 @@
 #include <rapidcheck/gtest.h>
 #include <set>
 
-// One field of a record is dropped, renamed or given another type, each field in turn. What does not need it stays in
-// force, and whatever is refused is refused for a typed reason.
+// Each field of a record in turn is removed, renamed or given another type. Everything that does not depend on it must stay in force, and
+// every refusal must be a typed error.
 
 using namespace PlatformAdapter;
 using Json = nlohmann::json;
@@ -39,7 +39,7 @@
     return Json::parse(R"({"Stage":"both","Models":[{"Name":"m","Version":3,"Adapters":[]}],"layers":{"From":0,"TargetVersion":16,"Version":3},"Busy":false,"CallSeq":2,"Waiting":1,"Running":12,"KvUsed":41000,"KvTotal":90000,"Handles":0,"pace":1.5,"born":1796600000123})");
 }
 
-/// Every field, element and nested field of a record.
+/// Returns the paths of all fields, elements and nested fields of a record.
 static std::vector<std::string> paths_within(Json const& value, std::string const& prefix = "")
 {
     std::vector<std::string> paths;
@@ -80,7 +80,7 @@
     std::vector<Json> const all { nullptr, true, -5, 0.5, 1e300, "word", Json::array({ 1 }), Json { { "x", 1 } } };
     std::vector<Json> others;
     for (auto const& other : all) {
-        // A whole number where a fraction stood is no fault.
+        // A whole number in place of a fraction is valid.
         if (other.type() != value.type() && !(other.is_number() && value.is_number() && other >= 0 && other == std::floor(other.get<double>())))
             others.push_back(other);
     }
@@ -119,7 +119,7 @@
     return error.code == Core::ErrorCode::UnreadableField && !error.detail.empty();
 }
 
-/// The route that a request for a host and path takes, as text; "blocked" if it would be refused as not run.
+/// Returns the route of a request for a host and path as text; "blocked" if the request would be refused.
 static std::string way(Schema::RoutingConfiguration const& configuration, char const* host, char const* path)
 {
     Routing::RouteTable const table(std::make_shared<Schema::RoutingConfiguration const>(configuration));
@@ -139,10 +139,10 @@
     return found == right || found == "blocked";
 }
 
-// Without these the record as a whole says nothing that can be relied on.
+// Without these fields the record as a whole is refused.
 static std::set<std::string> const needed_for_any { "/Version", "/Routes", "/Services", "/Tenants" };
 
-/// A route that is no route at all may cover any request.
+/// The same holds for a route that is not an object, as it may cover any request.
 static bool is_needed_for_any(std::string const& path)
 {
     return needed_for_any.contains(path) || Pointer(path).parent_pointer().to_string() == "/Routes";
@@ -161,7 +161,7 @@
             EXPECT_TRUE(is_typed_reason(read.error())) << what;
             continue;
         }
-        // Another route or service than the one at fault leads where it led.
+        // Routes and services other than the damaged one are unchanged.
         bool const is_about_stream = fault.path.starts_with("/Routes/0") || fault.path.starts_with("/Services/0") || fault.path == "/Routes/0";
         if (!is_about_stream && !fault.path.starts_with("/Routes")) {
             EXPECT_EQ(way(*read, "a.example", "/s/1"), "/s/ engines") << what;
@@ -169,12 +169,12 @@
         if (fault.path.starts_with("/Routes/0/") && fault.path != "/Routes/0/Host") {
             EXPECT_EQ(way(*read, "b.example", "/x/y/1"), "/x/y/ second") << what;
         }
-        // A request never takes a way that the whole record does not give it.
+        // A request never takes a route that it would not take with the undamaged record.
         if (fault.what != "dropped" || !Pointer(fault.path).parent_pointer().to_string().ends_with("Routes")) {
             EXPECT_TRUE(is_refused_or_same(way(*read, "b.example", "/x/y/1"), "/x/y/ second")) << what;
             EXPECT_NE(way(*read, "b.example", "/x/1"), "none") << what;
         }
-        // Nobody is let in who was not, and who cannot be told is not denied.
+        // No further caller is admitted, and a caller whose key may be among the undecodable ones is not denied.
         Routing::RouteTable const table(std::make_shared<Schema::RoutingConfiguration const>(*read));
         EXPECT_TRUE(read->has_customers) << what;
         for (auto const* key : { "k", "l", "m" }) {
@@ -219,7 +219,7 @@
     EXPECT_TRUE(is_typed_reason(read_configuration(record.dump(), CustomerKeys::Expected).error()));
 }
 
-/// A start that cannot be read is not made up.
+/// Checks that a start time that cannot be decoded is left out, not guessed.
 static void expect_start(std::optional<int64_t> started_at_ms, std::string const& faulty_path)
 {
     EXPECT_EQ(started_at_ms, faulty_path == "/born" ? std::nullopt : std::optional<int64_t>(1796600000123)) << faulty_path;
@@ -243,7 +243,7 @@
         if (!is_about_model) {
             EXPECT_EQ(read->held.at(0).version, 3) << what;
         }
-        // A version is never made up.
+        // A version is never guessed.
         for (auto const& held : read->held)
             EXPECT_TRUE(held.version == 3 || fault.path.starts_with("/layers") || fault.path.starts_with("/Models")) << what;
     }
@@ -298,7 +298,7 @@
     auto const configuration = read_configuration(body, *rc::gen::element(CustomerKeys::Expected, CustomerKeys::NotExpected));
     RC_ASSERT(configuration.has_value() || !configuration.error().detail.empty());
     if (configuration.has_value()) {
-        // What peers are sent reads as what was read.
+        // A peer can decode the configuration that it is sent.
         auto const again = Schema::from_text<Schema::RoutingConfiguration>(Schema::to_text(*configuration));
         RC_ASSERT(again.has_value());
         (void)way(*again, "a.example", "/s/1");
--- a/Tests/Platform/TestForeignRecords.cpp
+++ b/Tests/Platform/TestForeignRecords.cpp
@@ -14,8 +14,8 @@
 #include <rapidcheck/gtest.h>
 #include <regex>
 
-// An entry of the list of backend servers that another writer made: fields missing or of another type, words that are not
-// named, bytes that cannot be read. It names no backend server to use, and the other entries hold.
+// A record of the list of backend servers that another writer damaged: fields missing or of another type, undocumented values, bytes that
+// cannot be decoded. It must not provide a backend server to use, and the other records must stay in force.
 
 using namespace PlatformAdapter;
 using Configuration::FactReplica;
@@ -58,7 +58,7 @@
 
 using Answer = tl::expected<Platform::FactPage, Platform::FactLogFault>;
 
-/// A log that answers each read with the next of its pages.
+/// A log that answers each read of the list with the next of its pages.
 class PagedLog final : public Platform::FactLog {
 public:
     void read(FactTopic topic, int64_t, Platform::ReadTimeouts, Callback callback) override { answer(topic, callback); }
@@ -75,7 +75,7 @@
     }
 };
 
-/// What a process knows once a follower has taken these pages; the first is a listing, and so is one after lost history.
+/// The replica of a process after a follower has applied these pages. The first page is a listing, and so is one after HistoryGone.
 class Known {
 public:
     explicit Known(std::vector<Answer> pages)
@@ -95,14 +95,14 @@
         loop.run();
     }
 
-    /// Whether new work may go there, so far as its entry says.
+    /// Whether the server may get new requests, according to its record.
     bool is_in_use(std::string const& id) const
     {
         auto const* server = replica.server(id);
         return server && !server->is_draining;
     }
 
-    /// All that is known of one entry, as text.
+    /// Returns the decoded record of a server as text.
     std::string text(std::string const& id) const
     {
         auto const* server = replica.server(id);
@@ -128,7 +128,7 @@
     return timing;
 }
 
-/// Whether a request for the service would be sent to this server if it were the only one.
+/// Returns whether a request for the service would be sent to this server if it were the only one.
 bool would_be_sent(Schema::BackendServer const& server, std::string const& service)
 {
     Routing::ServerTable table({ .failure_domain = "z", .region = "r", .regions = { { "z", "r" } } }, 1);
@@ -143,7 +143,7 @@
     return record.contains(name) && record[name].is_string() && !record[name].get<std::string>().empty();
 }
 
-/// The pages' own words for what can be called: read here apart from the decoder.
+/// Returns whether a record has a valid address by the platform's definition, checked independently of the decoder.
 bool has_address(Json const& record)
 {
     static std::regex const s_address(R"((\d{1,3})\.(\d{1,3})\.(\d{1,3})\.(\d{1,3}):(\d{1,5}))");
@@ -202,7 +202,7 @@
         RC_ASSERT(read->service == engines);
         RC_ASSERT(holds_the_model(record));
     }
-    // It goes to peers and into lines as it is.
+    // It must survive the encoding in messages to peers unchanged.
     Schema::Message message;
     message.facts.emplace();
     message.facts->facts.push_back(Configuration::to_message({ Schema::FactKind::BackendServer, key, 1, *read }));
@@ -225,7 +225,7 @@
     for (int i = 0; i < count; ++i) {
         auto const bytes = foreign(engine_record(*rc::gen::element<std::string>("10.0.0.1:80", "10.0.0.2:80", "10.0.0.3:80", "10.0.0.9:80")));
         auto const record = Json::parse(bytes, nullptr, false);
-        // A whole entry at the address is a new incarnation there: it takes the place of the one before.
+        // An intact record with the address of another is left out: it is a new incarnation there and replaces the earlier one.
         if (!may_be_used(record) || record["Service"] == "nobody" || record["Address"] == "10.0.0.9:80")
             records.push_back({ *rc::gen::element<std::string>("i-8", "i-9", "\xff"), bytes });
     }
@@ -245,17 +245,17 @@
     auto const good = as_bytes(engine_record());
     auto leaving = engine_record();
     leaving["State"] = "draining";
-    // A record that cannot be read may have said that the server is leaving.
+    // A record that cannot be decoded may have stated that the server is draining.
     auto const cut = as_bytes(leaving).substr(0, 100);
     Known const garbled({ page_of({ { "i-1", good } }), page_of({ { "i-1", cut } }, 1) });
     EXPECT_FALSE(garbled.is_in_use("i-1"));
     EXPECT_EQ(garbled.bad.size(), 1u);
-    // What runs there is still known: it goes on.
+    // The server stays known, so that requests in flight there continue.
     ASSERT_TRUE(garbled.replica.server("i-1"));
     EXPECT_EQ(garbled.replica.server("i-1")->address, "10.0.0.9:80");
     Known const back({ page_of({ { "i-1", good } }), page_of({ { "i-1", cut } }, 1), page_of({ { "i-1", good } }, 2) });
     EXPECT_TRUE(back.is_in_use("i-1"));
-    // An older record that comes late, as from a peer, changes nothing.
+    // An older record that arrives late, for example from a peer, changes nothing.
     Known late({ page_of({ { "i-1", good } }), page_of({ { "i-1", cut } }, 1) });
     Schema::FactBatch batch {};
     batch.facts.push_back(Configuration::to_message({ Schema::FactKind::BackendServer, "i-1", 0, *read_server("i-1", good) }));
@@ -303,7 +303,7 @@
         auto record = engine_record();
         record["Models"][0]["Name"] = name;
         EXPECT_FALSE(would_be_sent(*read_server("i-1", as_bytes(record)), engines)) << name;
-        // Nor as a plain server of a service without a model.
+        // It is not used as a server of a service without a model either.
         record["Service"] = "plain";
         EXPECT_FALSE(would_be_sent(*read_server("i-1", as_bytes(record)), "plain")) << name;
     }
@@ -328,7 +328,7 @@
 {
     auto const first = as_bytes(engine_record("10.0.0.1:80"));
     auto const second = as_bytes(engine_record("10.0.0.2:80"));
-    // One record of i-2 names the address of i-1, its next heartbeat its own again.
+    // One record of i-2 contains the address of i-1; its next heartbeat has its own address again.
     Known const known({ page_of({ { "i-1", first }, { "i-2", second } }), page_of({ { "i-2", first } }, 2), page_of({ { "i-2", second } }, 3) });
     EXPECT_TRUE(known.is_in_use("i-1"));
     EXPECT_TRUE(known.is_in_use("i-2"));
@@ -337,7 +337,7 @@
     EXPECT_TRUE(other.is_in_use("i-2"));
 }
 
-/// A store that answers with what a test gives it.
+/// Runs a store that answers with records given by the test.
 class ForeignStoreTest : public LoopTest {
 protected:
     void SetUp() override
@@ -356,7 +356,7 @@
             exchange.reply(200, {}, listing(exchange.query("AfterRev").value_or("")));
     }
 
-    /// One key a page, so that each key is asked to go on behind.
+    /// Returns one key per page, so that each key is once the key after which the listing continues.
     std::string listing(std::string const& after) const
     {
         auto const next = items.upper_bound(after);
@@ -414,7 +414,7 @@
     return keys;
 }
 
-// The engine record in base64, as a listing has it.
+// A record of a plain server in base64, as a listing contains it.
 static char const* const plain_in_base64 = "eyJTZXJ2aWNlIjoicGxhaW4iLCJBZGRyZXNzIjoiMTAuMC4wLjk6ODAiLCJTdGF0ZSI6InJlYWR5In0=";
 
 TEST_F(ForeignStoreTest, ARecordWhoseFrameNamesNoKeyCostsNoOther)
--- a/Tests/Platform/TestVersionRecords.cpp
+++ b/Tests/Platform/TestVersionRecords.cpp
@@ -8,7 +8,7 @@
 #include <optional>
 #include <rapidcheck/gtest.h>
 
-// What is kept of versions may come from another writer too, as may whatever else a store answers.
+// Another writer may have written the stored versions, and the store may return anything else.
 
 using namespace PlatformAdapter;
 using Json = nlohmann::json;
@@ -21,7 +21,7 @@
     return Schema::to_text(Schema::KeptVersion { .known_at_ms = 1000, .model = "m", .version = version });
 }
 
-/// What is read from a store that answers every call with this body; nothing if the reading does not end.
+/// Reads from a store that answers every call with this body. Returns std::nullopt if the read does not end.
 static std::optional<Result> read_from(std::string const& body)
 {
     Core::EventLoop loop;
