--- a/Libraries/LibPlatform/HttpPlatform.cpp
+++ b/Libraries/LibPlatform/HttpPlatform.cpp
@@ -31,7 +31,7 @@
 static Core::ErrorOr<T> decode(tl::expected<Transport::HttpAnswer, Transport::HttpFailure> const& answer)
 {
     if (!answer.has_value())
-        return Core::failure(Core::ErrorCode::PlatformUnavailable, "no answer");
+        return Core::failure(Core::ErrorCode::PlatformUnavailable, "no answer from the platform");
     if (answer->status != status_ok)
         return Core::failure(Core::ErrorCode::PlatformUnavailable, "status " + std::to_string(answer->status));
     return Schema::from_text<T>(answer->body);
--- a/Tests/Platform/ForeignJson.h
+++ b/Tests/Platform/ForeignJson.h
@@ -6,7 +6,7 @@
 #include <string>
 #include <vector>
 
-// What another writer may make of a record: generators for property tests.
+// Generators for property tests: records as another writer may have damaged them.
 
 inline rc::Gen<std::string> odd_word()
 {
@@ -60,12 +60,12 @@
             record[at] = odd_value();
     }
     auto bytes = as_bytes(record);
-    auto const way = *rc::gen::inRange(0, 6);
-    if (way == 0)
+    auto const damage_kind = *rc::gen::inRange(0, 6);
+    if (damage_kind == 0)
         bytes.resize(*rc::gen::inRange<size_t>(0, bytes.size()));
-    else if (way == 1)
+    else if (damage_kind == 1)
         bytes[*rc::gen::inRange<size_t>(0, bytes.size())] = *rc::gen::arbitrary<char>();
-    else if (way == 2)
+    else if (damage_kind == 2)
         bytes = *rc::gen::container<std::string>(rc::gen::arbitrary<char>());
     return bytes;
 }
--- a/Tests/Platform/TestBadRecords.cpp
+++ b/Tests/Platform/TestBadRecords.cpp
@@ -125,7 +125,7 @@
 
 }
 
-TEST(BadRecords, OneLineForEachKeyAndReasonHoweverOftenItIsWritten)
+TEST(BadRecords, EachKeyAndReasonIsLoggedOnce)
 {
     LogFile const log;
     Core::Metrics metrics;
@@ -141,7 +141,7 @@
     EXPECT_EQ(metrics.counter("mountbarrow_bad_records_total", "reason=\"malformed_json\""), 1u * thousand);
 }
 
-TEST(BadRecords, WhatIsRememberedAndLoggedIsBoundedAndAllIsCounted)
+TEST(BadRecords, LoggedRecordsAreLimitedAndAllAreCounted)
 {
     LogFile const log;
     Core::Metrics metrics;
@@ -158,7 +158,7 @@
     EXPECT_EQ(metrics.counter("mountbarrow_bad_records_total", "reason=\"malformed_json\""), 2 * count);
 }
 
-TEST(BadRecords, AThousandCostNoMoreThanAThousandGoodOnes)
+TEST(BadRecords, AThousandBadRecordsCostNoMoreThanAThousandGoodOnes)
 {
     LogFile const log;
     std::vector<std::string> good;
--- a/Tests/Platform/TestBlameRecords.cpp
+++ b/Tests/Platform/TestBlameRecords.cpp
@@ -33,7 +33,7 @@
     return *result;
 }
 
-TEST(BlameRecords, ARecordThatIsNoBlameIsBadAndTheOthersAreRead)
+TEST(BlameRecords, AnInvalidBlameIsBadAndTheOthersAreRead)
 {
     std::vector<std::string> const odd {
         "{}",
@@ -52,7 +52,7 @@
     }
 }
 
-RC_GTEST_PROP(BlameRecords, AForeignRecordCostsNoOther, ())
+RC_GTEST_PROP(BlameRecords, AForeignRecordDoesNotAffectOthers, ())
 {
     auto const bytes = foreign(Json::parse(kept_record("b")));
     auto const read = read_from(as_bytes(listing({ item("a", kept_record("a"), 1), item("b", bytes, 2), item("c", kept_record("c"), 3) })));
@@ -77,7 +77,7 @@
     }
 
     uint16_t port() const { return m_server->port(); }
-    std::vector<int64_t> asked_from;
+    std::vector<int64_t> requested_from;
 
 private:
     static std::string big_endian(uint64_t value, size_t size)
@@ -91,7 +91,7 @@
     void answer(Transport::HttpExchange& exchange)
     {
         auto const from = std::stoll(exchange.query("From").value_or("0"));
-        asked_from.push_back(from);
+        requested_from.push_back(from);
         if (from < m_first) {
             exchange.reply(410, {}, Json { { "first", m_first } }.dump());
             return;
@@ -119,7 +119,7 @@
     return { "version/m", Json { { "Model", "m" }, { "Version", version } }.dump() };
 }
 
-static std::vector<int64_t> versions_in_history(int64_t first, std::vector<int64_t>& asked_from)
+static std::vector<int64_t> versions_in_history(int64_t first, std::vector<int64_t>& requested_from)
 {
     Core::EventLoop loop;
     HistoryStore store(loop, { naming(1), naming(3), { "version/m", "no version" }, naming(2) }, first);
@@ -133,21 +133,21 @@
         loop.stop();
     });
     loop.run();
-    asked_from = store.asked_from;
+    requested_from = store.requested_from;
     return versions;
 }
 
-TEST(FactLogHistory, EachRecordIsReadAlsoThoseThatWereReplaced)
+TEST(FactLogHistory, ReplacedRecordsAreReadToo)
 {
-    std::vector<int64_t> asked_from;
-    EXPECT_EQ(versions_in_history(0, asked_from), (std::vector<int64_t> { 1, 3, 2 }));
-    EXPECT_EQ(asked_from, std::vector<int64_t> { 0 });
+    std::vector<int64_t> requested_from;
+    EXPECT_EQ(versions_in_history(0, requested_from), (std::vector<int64_t> { 1, 3, 2 }));
+    EXPECT_EQ(requested_from, std::vector<int64_t> { 0 });
 }
 
-TEST(FactLogHistory, WhatIsNoLongerKeptIsLeftOut)
+TEST(FactLogHistory, RecordsThatAreNoLongerStoredAreSkipped)
 {
-    std::vector<int64_t> asked_from;
-    EXPECT_EQ(versions_in_history(1, asked_from), (std::vector<int64_t> { 3, 2 }));
-    EXPECT_EQ(asked_from, (std::vector<int64_t> { 0, 1 }));
-    EXPECT_TRUE(versions_in_history(4, asked_from).empty());
+    std::vector<int64_t> requested_from;
+    EXPECT_EQ(versions_in_history(1, requested_from), (std::vector<int64_t> { 3, 2 }));
+    EXPECT_EQ(requested_from, (std::vector<int64_t> { 0, 1 }));
+    EXPECT_TRUE(versions_in_history(4, requested_from).empty());
 }
--- a/Tests/Platform/TestFieldFaults.cpp
+++ b/Tests/Platform/TestFieldFaults.cpp
@@ -120,7 +120,7 @@
 }
 
 /// Returns the route of a request for a host and path as text; "blocked" if the request would be refused.
-static std::string way(Schema::RoutingConfiguration const& configuration, char const* host, char const* path)
+static std::string route_text(Schema::RoutingConfiguration const& configuration, char const* host, char const* path)
 {
     Routing::RouteTable const table(std::make_shared<Schema::RoutingConfiguration const>(configuration));
     auto const* route = table.find(host, path);
@@ -148,7 +148,7 @@
     return needed_for_any.contains(path) || Pointer(path).parent_pointer().to_string() == "/Routes";
 }
 
-TEST(FieldFaults, OneFieldOfTheConfigurationTakesOutOnlyWhatNeedsIt)
+TEST(FieldFaults, ABadFieldOfTheConfigurationDisablesOnlyWhatDependsOnIt)
 {
     auto const whole = read_configuration(configuration_record().dump(), CustomerKeys::Expected);
     ASSERT_TRUE(whole.has_value());
@@ -164,15 +164,15 @@
         // Routes and services other than the damaged one are unchanged.
         bool const is_about_stream = fault.path.starts_with("/Routes/0") || fault.path.starts_with("/Services/0") || fault.path == "/Routes/0";
         if (!is_about_stream && !fault.path.starts_with("/Routes")) {
-            EXPECT_EQ(way(*read, "a.example", "/s/1"), "/s/ engines") << what;
+            EXPECT_EQ(route_text(*read, "a.example", "/s/1"), "/s/ engines") << what;
         }
         if (fault.path.starts_with("/Routes/0/") && fault.path != "/Routes/0/Host") {
-            EXPECT_EQ(way(*read, "b.example", "/x/y/1"), "/x/y/ second") << what;
+            EXPECT_EQ(route_text(*read, "b.example", "/x/y/1"), "/x/y/ second") << what;
         }
         // A request never takes a route that it would not take with the undamaged record.
         if (fault.what != "dropped" || !Pointer(fault.path).parent_pointer().to_string().ends_with("Routes")) {
-            EXPECT_TRUE(is_refused_or_same(way(*read, "b.example", "/x/y/1"), "/x/y/ second")) << what;
-            EXPECT_NE(way(*read, "b.example", "/x/1"), "none") << what;
+            EXPECT_TRUE(is_refused_or_same(route_text(*read, "b.example", "/x/y/1"), "/x/y/ second")) << what;
+            EXPECT_NE(route_text(*read, "b.example", "/x/1"), "none") << what;
         }
         // No further caller is admitted, and a caller whose key may be among the undecodable ones is not denied.
         Routing::RouteTable const table(std::make_shared<Schema::RoutingConfiguration const>(*read));
@@ -186,7 +186,7 @@
     }
 }
 
-TEST(FieldFaults, ARateThatCannotBeReadIsMarkedAndTheServiceIsServed)
+TEST(FieldFaults, AnUndecodableRateIsReportedAndTheServiceStaysInUse)
 {
     std::set<std::string> const rates { "Slots", "Stride", "step_ms", "per_seq_ms", "context_per_k", "read_per_s", "pairs_per_m", "layers", "usual" };
     for (auto const& fault : faults_of(configuration_record())) {
@@ -195,14 +195,14 @@
             continue;
         auto const read = read_configuration(fault.record.dump(), CustomerKeys::Expected);
         ASSERT_TRUE(read.has_value()) << fault.path;
-        EXPECT_EQ(way(*read, "a.example", "/s/1"), "/s/ engines") << fault.path;
+        EXPECT_EQ(route_text(*read, "a.example", "/s/1"), "/s/ engines") << fault.path;
         EXPECT_FALSE(read->unreadable_fields.empty()) << fault.path << " " << fault.what;
         ASSERT_TRUE(read->services[0].timing.has_value());
         EXPECT_GT(Routing::EngineTimes(*read->services[0].timing).full_service_ms(), 0) << fault.path << " " << fault.what;
     }
 }
 
-TEST(FieldFaults, AConfigurationWithoutCustomersIsRefusedWhereThereMustBeSome)
+TEST(FieldFaults, AConfigurationWithoutRequiredCustomersIsRefused)
 {
     auto record = configuration_record();
     record.erase("Tenants");
@@ -210,11 +210,11 @@
     EXPECT_FALSE(read_configuration(record.dump(), CustomerKeys::NotExpected)->has_customers);
 }
 
-TEST(FieldFaults, ARouteOfWhichNothingTellsWhatItCoversRefusesTheWhole)
+TEST(FieldFaults, ARouteWithoutHostAndPathRefusesTheConfiguration)
 {
     auto record = configuration_record();
     record["Routes"][0].erase("Host");
-    EXPECT_EQ(way(*read_configuration(record.dump(), CustomerKeys::Expected), "b.example", "/s/1"), "blocked");
+    EXPECT_EQ(route_text(*read_configuration(record.dump(), CustomerKeys::Expected), "b.example", "/s/1"), "blocked");
     record["Routes"][0].erase("PathPrefix");
     EXPECT_TRUE(is_typed_reason(read_configuration(record.dump(), CustomerKeys::Expected).error()));
 }
@@ -225,7 +225,7 @@
     EXPECT_EQ(started_at_ms, faulty_path == "/born" ? std::nullopt : std::optional<int64_t>(1796600000123)) << faulty_path;
 }
 
-TEST(FieldFaults, OneFieldOfAListedServerLeavesItListedOrDraining)
+TEST(FieldFaults, ABadFieldOfAServerLeavesItListedOrDraining)
 {
     std::set<std::string> const needed { "/Service", "/Address" };
     for (auto const& fault : faults_of(server_record())) {
@@ -249,7 +249,7 @@
     }
 }
 
-TEST(FieldFaults, OneFieldOfAReportLeavesTheRestKnown)
+TEST(FieldFaults, ABadFieldOfAReportDoesNotAffectTheOthers)
 {
     for (auto const& fault : faults_of(report_record())) {
         auto const what = fault.path + " " + fault.what;
@@ -269,7 +269,7 @@
     }
 }
 
-TEST(FieldFaults, ANamedVersionNeedsItsNumberAlone)
+TEST(FieldFaults, ANamedVersionRequiresOnlyItsNumber)
 {
     Json const record { { "Model", "m" }, { "Version", 4 } };
     for (auto const& fault : faults_of(record)) {
@@ -283,7 +283,7 @@
     }
 }
 
-RC_GTEST_PROP(FieldFaults, SeveralFaultsAtOnceNeverEndTheProcess, ())
+RC_GTEST_PROP(FieldFaults, SeveralFaultsAtOnceNeverCrashTheProcess, ())
 {
     auto record = *rc::gen::element(configuration_record(), server_record(), report_record());
     auto const count = *rc::gen::inRange(1, 6);
@@ -301,7 +301,7 @@
         // A peer can decode the configuration that it is sent.
         auto const again = Schema::from_text<Schema::RoutingConfiguration>(Schema::to_text(*configuration));
         RC_ASSERT(again.has_value());
-        (void)way(*again, "a.example", "/s/1");
+        (void)route_text(*again, "a.example", "/s/1");
     }
     (void)read_server("i-1", body);
     (void)read_report(body);
--- a/Tests/Platform/TestForeignRecords.cpp
+++ b/Tests/Platform/TestForeignRecords.cpp
@@ -129,7 +129,7 @@
 }
 
 /// Returns whether a request for the service would be sent to this server if it were the only one.
-bool would_be_sent(Schema::BackendServer const& server, std::string const& service)
+bool is_chosen_for(Schema::BackendServer const& server, std::string const& service)
 {
     Routing::ServerTable table({ .failure_domain = "z", .region = "r", .regions = { { "z", "r" } } }, 1);
     table.set_timing(engines, timing());
@@ -177,14 +177,14 @@
                 .as("foreign key");
 }
 
-bool can_stand_in_a_header(std::string const& text)
+bool is_valid_header_value(std::string const& text)
 {
     return !text.empty() && std::all_of(text.begin(), text.end(), [](char byte) { return byte > ' ' && byte < '\x7f'; });
 }
 
 }
 
-RC_GTEST_PROP(ForeignRecords, NameNothingToUseUnlessAllThatItsUseNeedsIsThere, ())
+RC_GTEST_PROP(ForeignRecords, AServerIsUsableOnlyWithAllRequiredFields, ())
 {
     auto const bytes = foreign(*rc::gen::element(engine_record(), plain_record("10.0.0.9:80")));
     auto const key = *rc::gen::inRange(0, 3) == 0 ? foreign_key() : "i-1";
@@ -196,9 +196,9 @@
     }
     if (!read->is_draining) {
         RC_ASSERT(may_be_used(record));
-        RC_ASSERT(can_stand_in_a_header(key));
+        RC_ASSERT(is_valid_header_value(key));
     }
-    if (would_be_sent(*read, engines)) {
+    if (is_chosen_for(*read, engines)) {
         RC_ASSERT(read->service == engines);
         RC_ASSERT(holds_the_model(record));
     }
@@ -216,7 +216,7 @@
     RC_ASSERT(std::get<Schema::BackendServer>(fact->value).id == key);
 }
 
-RC_GTEST_PROP(ForeignRecords, LeaveEveryOtherEntryAsItWas, ())
+RC_GTEST_PROP(ForeignRecords, OtherRecordsAreUnchanged, ())
 {
     std::vector<Record> own { { "i-1", as_bytes(engine_record("10.0.0.1:80")) }, { "i-2", as_bytes(engine_record("10.0.0.2:80")) }, { "i-3", as_bytes(plain_record("10.0.0.3:80")) } };
     auto const clean = Known({ page_of(own) });
@@ -240,7 +240,7 @@
         RC_ASSERT(known.text(record.key) == clean.text(record.key));
 }
 
-TEST(ForeignRecords, AnUnreadableRecordOfAKnownServerEndsNewWorkThereUntilItsNextHeartbeat)
+TEST(ForeignRecords, AnUndecodableRecordStopsNewRequestsUntilTheNextHeartbeat)
 {
     auto const good = as_bytes(engine_record());
     auto leaving = engine_record();
@@ -263,7 +263,7 @@
     EXPECT_FALSE(late.is_in_use("i-1"));
 }
 
-TEST(ForeignRecords, AListingWithAnUnreadableRecordSaysTheSameAsTheRecordAlone)
+TEST(ForeignRecords, AnUndecodableRecordHasTheSameEffectInAListing)
 {
     Record const first { "i-1", as_bytes(engine_record()) };
     Record const second { "i-2", as_bytes(engine_record("10.0.0.2:80")) };
@@ -277,7 +277,7 @@
     EXPECT_EQ(listed.text("i-2"), read.text("i-2"));
 }
 
-TEST(ForeignRecords, AnUnreadableRecordUnderANewKeyIsNothing)
+TEST(ForeignRecords, AnUndecodableRecordOfANewKeyIsIgnored)
 {
     Known const known({ page_of({ { "i-1", as_bytes(engine_record()) } }), page_of({ { "i-9", "\xff\xfe" } }, 1) });
     EXPECT_EQ(known.replica.servers().size(), 1u);
@@ -285,7 +285,7 @@
     EXPECT_EQ(known.bad.size(), 1u);
 }
 
-TEST(ForeignRecords, AWordForTheStateThatIsNotNamedIsTold)
+TEST(ForeignRecords, AnUnknownStateIsReported)
 {
     for (auto const* word : { "", "READY", "gone", "ready " }) {
         auto record = engine_record();
@@ -297,21 +297,21 @@
     }
 }
 
-TEST(ForeignRecords, AnEngineThatHoldsAnotherModelOrNobodyKnowsWhichIsNotUsed)
+TEST(ForeignRecords, AnEngineWithAnotherOrUnknownModelIsNotUsed)
 {
     for (auto const& name : { Json("other"), Json(7), Json(nullptr) }) {
         auto record = engine_record();
         record["Models"][0]["Name"] = name;
-        EXPECT_FALSE(would_be_sent(*read_server("i-1", as_bytes(record)), engines)) << name;
+        EXPECT_FALSE(is_chosen_for(*read_server("i-1", as_bytes(record)), engines)) << name;
         // It is not used as a server of a service without a model either.
         record["Service"] = "plain";
-        EXPECT_FALSE(would_be_sent(*read_server("i-1", as_bytes(record)), "plain")) << name;
+        EXPECT_FALSE(is_chosen_for(*read_server("i-1", as_bytes(record)), "plain")) << name;
     }
-    EXPECT_TRUE(would_be_sent(*read_server("i-1", as_bytes(engine_record())), engines));
-    EXPECT_TRUE(would_be_sent(*read_server("i-1", as_bytes(plain_record("10.0.0.9:80"))), "plain"));
+    EXPECT_TRUE(is_chosen_for(*read_server("i-1", as_bytes(engine_record())), engines));
+    EXPECT_TRUE(is_chosen_for(*read_server("i-1", as_bytes(plain_record("10.0.0.9:80"))), "plain"));
 }
 
-TEST(ForeignRecords, AnEntryThatNamesNothingToUseTakesNoAddress)
+TEST(ForeignRecords, AnUnusableRecordDoesNotTakeOverAnAddress)
 {
     for (auto const& [name, value] : std::map<std::string, Json> { { "State", "gone" }, { "State", 7 }, { "Service", "nobody" } }) {
         auto record = engine_record();
@@ -324,7 +324,7 @@
     EXPECT_TRUE(succeeded.is_in_use("i-9"));
 }
 
-TEST(ForeignRecords, AnAddressThatWasMisreadOnceIsGivenBack)
+TEST(ForeignRecords, AWrongAddressIsCorrectedByTheNextHeartbeat)
 {
     auto const first = as_bytes(engine_record("10.0.0.1:80"));
     auto const second = as_bytes(engine_record("10.0.0.2:80"));
@@ -390,11 +390,11 @@
         HttpFactLog log(m_loop, "127.0.0.1:" + std::to_string(m_server->port()), CustomerKeys::NotExpected);
         std::optional<tl::expected<Platform::FactPage, Platform::FactLogFault>> result;
         Platform::ReadTimeouts const timeouts { .wait = Core::Duration(0), .answer = Core::Duration(10000) };
-        auto const take = [&](auto page) { result = std::move(page); };
+        auto const on_page = [&](auto page) { result = std::move(page); };
         if (is_listing)
-            log.read_newest(FactTopic::BackendServers, timeouts, take);
+            log.read_newest(FactTopic::BackendServers, timeouts, on_page);
         else
-            log.read(FactTopic::BackendServers, 0, timeouts, take);
+            log.read(FactTopic::BackendServers, 0, timeouts, on_page);
         run_until([&] { return result.has_value() || calls > most_calls; });
         return result.value_or(tl::unexpected(Platform::FactLogFault::Unavailable));
     }
@@ -417,7 +417,7 @@
 // A record of a plain server in base64, as a listing contains it.
 static char const* const plain_in_base64 = "eyJTZXJ2aWNlIjoicGxhaW4iLCJBZGRyZXNzIjoiMTAuMC4wLjk6ODAiLCJTdGF0ZSI6InJlYWR5In0=";
 
-TEST_F(ForeignStoreTest, ARecordWhoseFrameNamesNoKeyCostsNoOther)
+TEST_F(ForeignStoreTest, ARecordWithoutAKeyDoesNotAffectOthers)
 {
     for (auto const& odd : { framed(""), framed("\xff"), framed(std::string("\0", 1)), framed("\x05"
                                                                                               "ab") }) {
@@ -431,7 +431,7 @@
     }
 }
 
-TEST_F(ForeignStoreTest, AnyKeyCanBeGoneOnBehindInAListing)
+TEST_F(ForeignStoreTest, AListingContinuesAfterAnyKey)
 {
     std::vector<std::string> const odd { "a b", "a&From=0", "a%41", "a+b", "a#b", "a\r\nX: 1", "a\"b", "\xc3\xa4" };
     list("i-1", plain_in_base64, 1);
@@ -444,7 +444,7 @@
     EXPECT_EQ(page->bad.size(), odd.size());
 }
 
-TEST_F(ForeignStoreTest, AValueThatIsNoBase64IsNoRemoval)
+TEST_F(ForeignStoreTest, AnInvalidBase64ValueIsNotARemoval)
 {
     list("i-1", "%%%", 1);
     list("i-2", plain_in_base64, 2);
@@ -454,7 +454,7 @@
     EXPECT_EQ(page->bad.size(), 1u);
 }
 
-TEST_F(ForeignStoreTest, AListingWithAKeyThatIsNoTextIsReadToItsEnd)
+TEST_F(ForeignStoreTest, AListingWithANonTextKeyIsReadToTheEnd)
 {
     list("i-1", plain_in_base64, 1);
     items["i-2"] = "{\"Key\":\"i-\xff\",\"Value\":\"e30=\",\"offset\":2}";
@@ -465,7 +465,7 @@
     EXPECT_EQ(page->bad.size(), 1u);
 }
 
-TEST_F(ForeignStoreTest, AListingThatGetsNoFurtherEnds)
+TEST_F(ForeignStoreTest, AListingWithoutProgressEnds)
 {
     items["i-1"] = R"({"Key":7,"Value":"e30=","offset":2})";
     list("i-2", plain_in_base64, 3);
--- a/Tests/Platform/TestVersionRecords.cpp
+++ b/Tests/Platform/TestVersionRecords.cpp
@@ -41,7 +41,7 @@
     return result;
 }
 
-TEST(VersionRecords, ARecordThatIsNoVersionIsBadAndTheOthersAreRead)
+TEST(VersionRecords, AnInvalidRecordIsBadAndTheOthersAreRead)
 {
     auto const earliest = std::numeric_limits<int64_t>::min();
     std::vector<std::string> const odd {
@@ -63,7 +63,7 @@
     }
 }
 
-RC_GTEST_PROP(VersionRecords, AForeignRecordCostsNoOther, ())
+RC_GTEST_PROP(VersionRecords, AForeignRecordDoesNotAffectOthers, ())
 {
     auto const bytes = foreign(Json::parse(kept_record(2)));
     auto const read = read_from(as_bytes(listing({ item("m/1", kept_record(1), 1), item("m/2", bytes, 2), item("m/3", kept_record(3), 3) })));
@@ -76,7 +76,7 @@
         RC_ASSERT(each.known_at_ms >= 0 && each.version > 0 && !each.model.empty());
 }
 
-RC_GTEST_PROP(VersionRecords, WhateverTheStoreAnswersTheReadingEnds, ())
+RC_GTEST_PROP(VersionRecords, AReadEndsWhateverTheStoreAnswers, ())
 {
     auto body = listing({ item("m/1", kept_record(1), 1), item("m/2", kept_record(2), 2) });
     body["more"] = *rc::gen::arbitrary<bool>();
