--- a/Libraries/LibPlatform/FactFollower.cpp
+++ b/Libraries/LibPlatform/FactFollower.cpp
@@ -160,18 +160,18 @@
 {
     auto const now = Core::monotonic_now();
     Configuration::ReadTime const read { now, earliest_write_time(topic, now) };
-    bool const is_regained = topic.failures > 0;
+    bool const is_recovered = topic.failures > 0;
     auto const lost_for = now - topic.current_at;
     topic.failures = 0;
     topic.gap_began_at.reset();
     // The records of the next page may be as old as those of this one.
     if (page.end < page.log_end)
-        topic.gap_began_at = read.earliest_write_time;
+        topic.gap_began_at = read.written_after;
     topic.has_been_read = true;
     topic.needs_listing = false;
     topic.current_at = now;
     topic.read_at = now;
-    if (is_regained)
+    if (is_recovered)
         m_callbacks.read_recovered(topic.topic, lost_for);
     for (auto const& bad : page.bad)
         m_callbacks.bad_record(bad);
--- a/Libraries/LibPlatform/RequestHeads.h
+++ b/Libraries/LibPlatform/RequestHeads.h
@@ -16,6 +16,7 @@
     std::string path;
     /// How long the caller waits for the answer; std::nullopt if it sets no limit.
     std::optional<Core::Duration> deadline;
+    /// The API key of the caller's customer, if the request carries one.
     std::optional<std::string> key;
     /// Id of the last event of a stream that the caller already received, if it resumes a stream.
     std::optional<int64_t> last_event;
@@ -33,7 +34,9 @@
     std::optional<std::string> customer;
     /// The caller's remaining wait time.
     Core::Duration remaining { 0 };
+    /// Version of the model's weights that the request must run on, if it must run on a certain one.
     std::optional<int64_t> expected_version;
+    /// Id of the last event that the caller already received, if a stream is resumed.
     std::optional<int64_t> last_event;
     /// Priority from 0 (first) to 9 (last).
     std::optional<int> urgency;
@@ -48,6 +51,7 @@
     bool is_genuine { false };
     std::string request_id;
     std::optional<Core::Duration> retry_after;
+    /// Version of the model's weights that the backend server reports for the answer.
     std::optional<int64_t> version;
     /// The header fields to forward to the caller, without those that concern only one connection (hop-by-hop).
     Transport::HttpHeaders headers;
--- a/Libraries/LibPlatform/StoredVersions.cpp
+++ b/Libraries/LibPlatform/StoredVersions.cpp
@@ -95,8 +95,8 @@
     if (!m_records || !m_is_read || m_is_writing || now < m_next_write_at)
         return;
     for (auto const& [model, named] : m_facts.versions()) {
-        auto const surplus_versions = named.versions.size() - std::min(named.versions.size(), max_stored_per_model);
-        for (size_t i = surplus_versions; i < named.versions.size(); ++i) {
+        auto const surplus = named.versions.size() - std::min(named.versions.size(), max_stored_per_model);
+        for (size_t i = surplus; i < named.versions.size(); ++i) {
             Version const version { model, named.versions[i].version };
             if (m_stored.contains(version) || !is_responsible_for(version, now - named.versions[i].found))
                 continue;
