--- a/Libraries/LibPlatform/AskedPeers.cpp
+++ b/Libraries/LibPlatform/AskedPeers.cpp
@@ -33,14 +33,14 @@
     std::vector<std::string> other_regions;
     for (auto const& peer : peers)
         (peer.distance == Distance::SameRegion ? same_region : other_regions).push_back(peer.identity);
-    std::vector<std::string> asked;
+    std::vector<std::string> selected;
     if (same_region.empty() || should_request_from_other_regions()) {
-        append_in_turn(same_region, m_next_same_region, max_same_region_for_configuration, asked);
-        append_in_turn(other_regions, m_next_other_region, max_requests_at_once, asked);
+        append_in_turn(same_region, m_next_same_region, max_same_region_for_configuration, selected);
+        append_in_turn(other_regions, m_next_other_region, max_requests_at_once, selected);
     } else {
-        append_in_turn(same_region, m_next_same_region, max_requests_at_once, asked);
+        append_in_turn(same_region, m_next_same_region, max_requests_at_once, selected);
     }
-    return asked;
+    return selected;
 }
 
 bool FactPeerSelector::should_request_from_other_regions() const
--- a/Tests/LibPlatform/TestFactFollower.cpp
+++ b/Tests/LibPlatform/TestFactFollower.cpp
@@ -70,19 +70,19 @@
     Core::EventLoop loop;
     RefusingLog log;
     Configuration::FactReplica replica;
-    int told = 0;
+    int failed_reads = 0;
     FactFollowerSettings settings;
     settings.retry_interval = Core::Duration(10);
     settings.longest_retry_interval = Core::Duration(80);
     Core::PauseWatch const pauses(loop);
-    FactFollower follower(loop, pauses, log, replica, settings, { .changed = [](auto const&) {}, .read_failed = [&](auto, auto) { told += 1; }, .read_recovered = [](auto, auto) {}, .bad_record = [](auto const&) {} });
+    FactFollower follower(loop, pauses, log, replica, settings, { .changed = [](auto const&) {}, .read_failed = [&](auto, auto) { failed_reads += 1; }, .read_recovered = [](auto, auto) {}, .bad_record = [](auto const&) {} });
     follower.start();
     auto const end = loop.after(Core::Duration(400), [&] { loop.stop(); });
     loop.run();
     // Reads of two topics, each at 0, 10, 30, 70, 150, 230, 310 and 390 ms at the earliest.
     EXPECT_LE(log.calls, 16);
     EXPECT_GE(log.calls, 2);
-    EXPECT_EQ(told, log.calls);
+    EXPECT_EQ(failed_reads, log.calls);
 }
 
 namespace {
@@ -309,11 +309,11 @@
     Core::PauseWatch const pauses(loop);
     LogWithHistory log;
     Configuration::FactReplica replica;
-    std::vector<Configuration::FactChanges> told;
-    FactFollower follower(loop, pauses, log, replica, {}, { .changed = [&](auto const& changes) { told.push_back(changes); }, .read_failed = [](auto, auto) {}, .read_recovered = [](auto, auto) {}, .bad_record = [](auto const&) {} });
+    std::vector<Configuration::FactChanges> changes_seen;
+    FactFollower follower(loop, pauses, log, replica, {}, { .changed = [&](auto const& changes) { changes_seen.push_back(changes); }, .read_failed = [](auto, auto) {}, .read_recovered = [](auto, auto) {}, .bad_record = [](auto const&) {} });
     follower.start();
     EXPECT_EQ(log.reads, 1);
-    ASSERT_EQ(told.size(), 1u);
+    ASSERT_EQ(changes_seen.size(), 1u);
     EXPECT_EQ(replica.versions().at("m").newest(), 3);
-    EXPECT_EQ(told[0].older_records, std::vector<std::string> { "version/m" });
+    EXPECT_EQ(changes_seen[0].older_records, std::vector<std::string> { "version/m" });
 }
--- a/Tests/LibPlatform/TestStoredBlames.cpp
+++ b/Tests/LibPlatform/TestStoredBlames.cpp
@@ -58,15 +58,15 @@
 /// The part of an entry that handles blames.
 struct Process {
     Process(Core::EventLoop& loop, SharedBlames& shared, std::string const& identity, std::vector<std::string> const& linked)
-        : kept(loop, std::make_unique<BlamesOfOne>(shared), identity, metrics,
+        : stored(loop, std::make_unique<BlamesOfOne>(shared), identity, metrics,
             { .read = [this](auto const& suspect) { known.push_back(suspect); }, .entries = [linked] { return linked; } })
     {
-        kept.read();
+        stored.read();
     }
 
     Core::Metrics metrics;
     std::vector<Schema::CrashSuspect> known;
-    StoredBlames kept;
+    StoredBlames stored;
 };
 
 Schema::CrashSuspect blamed(std::string const& digest, int64_t ms_ago = 0)
@@ -91,7 +91,7 @@
 {
     Core::EventLoop loop;
     SharedBlames shared;
-    Process(loop, shared, "a", {}).kept.store_blame(blamed("d", 5000));
+    Process(loop, shared, "a", {}).stored.store_blame(blamed("d", 5000));
     Process second(loop, shared, "b", {});
     ASSERT_EQ(second.known.size(), 1u);
     EXPECT_EQ(second.known[0].digest, "d");
@@ -111,7 +111,7 @@
         processes.push_back(std::make_unique<Process>(loop, shared, identity, others));
     }
     for (auto const& process : processes)
-        process->kept.store_blame(blamed("d"));
+        process->stored.store_blame(blamed("d"));
     run_for(loop, Core::Duration(50));
     EXPECT_EQ(shared.writes, 2);
 }
@@ -122,7 +122,7 @@
     SharedBlames shared;
     Process process(loop, shared, "a", {});
     shared.is_away = true;
-    process.kept.store_blame(blamed("d"));
+    process.stored.store_blame(blamed("d"));
     EXPECT_TRUE(shared.records.empty());
     shared.is_away = false;
     run_for(loop, Core::Duration(700));
@@ -139,8 +139,8 @@
     shared.is_away = false;
     run_for(loop, Core::Duration(400));
     EXPECT_EQ(shared.reads, 2);
-    process.kept.read_unless_recent();
-    process.kept.read_unless_recent();
+    process.stored.read_unless_recent();
+    process.stored.read_unless_recent();
     EXPECT_EQ(shared.reads, 2) << "the last read was less than 2 s ago";
 }
 
@@ -165,9 +165,9 @@
     Core::EventLoop loop;
     SharedBlames shared;
     Process process(loop, shared, "a", {});
-    process.kept.store_blame(blamed("d"));
-    process.kept.remove_blame("d");
+    process.stored.store_blame(blamed("d"));
+    process.stored.remove_blame("d");
     EXPECT_TRUE(shared.records.empty());
-    process.kept.store_blame(blamed("d"));
+    process.stored.store_blame(blamed("d"));
     EXPECT_EQ(shared.records.size(), 1u) << "a request whose blame was removed may be blamed again";
 }
--- a/Tests/LibPlatform/TestStoredVersions.cpp
+++ b/Tests/LibPlatform/TestStoredVersions.cpp
@@ -61,10 +61,10 @@
 /// The part of an entry that handles versions.
 struct Process {
     Process(Core::EventLoop& loop, SharedRecords& shared, std::string const& identity, std::vector<std::string> const& linked)
-        : kept(loop, std::make_unique<RecordsOfOne>(shared, identity), identity, facts, metrics,
+        : stored(loop, std::make_unique<RecordsOfOne>(shared, identity), identity, facts, metrics,
             { .read = [this](auto const& known) { facts.on_known_versions(known, Core::monotonic_now()); }, .entries = [linked] { return linked; }, .bad_record = [](auto const&) {} })
     {
-        kept.start([this] { is_started = true; });
+        stored.start([this] { is_started = true; });
     }
 
     void learn(int64_t version)
@@ -72,14 +72,14 @@
         auto const now = Core::monotonic_now();
         m_revision += 1;
         facts.on_records(Configuration::FactTopic::Configuration, { { Schema::FactKind::ModelVersion, "version/m", m_revision, Schema::ModelVersion { .model = "m", .version = version } } }, m_revision + 1, { now, now });
-        kept.store_new_versions();
+        stored.store_new_versions();
     }
 
     int64_t newest() const { return facts.versions().contains("m") ? facts.versions().at("m").newest() : 0; }
 
     Core::Metrics metrics;
     Configuration::FactReplica facts;
-    StoredVersions kept;
+    StoredVersions stored;
     bool is_started { false };
 
 private:
@@ -147,12 +147,12 @@
     shared.is_away = true;
     Process process(loop, shared, "a", {});
     EXPECT_TRUE(process.is_started);
-    EXPECT_FALSE(process.kept.is_read());
+    EXPECT_FALSE(process.stored.is_read());
     process.learn(4);
     EXPECT_EQ(shared.writes, 0) << "nothing is written before the stored versions are read, as the version may already be stored";
     shared.is_away = false;
     run_for(loop, Core::Duration(1200));
-    EXPECT_TRUE(process.kept.is_read());
+    EXPECT_TRUE(process.stored.is_read());
     EXPECT_TRUE(shared.records.contains({ "m", 4 }));
     shared.is_away = true;
     process.learn(5);
