--- a/Libraries/LibDistribution/StagedLoad.cpp
+++ b/Libraries/LibDistribution/StagedLoad.cpp
@@ -158,11 +158,11 @@
     });
 }
 
-std::optional<Platform::LoadManner> StagedLoad::load_manner(Core::Time now, SwitchPermissions const& permissions)
+std::optional<Platform::LoadMode> StagedLoad::load_manner(Core::Time now, SwitchPermissions const& permissions)
 {
     bool const serves_something = !m_report->held.empty();
     if (!serves_something)
-        return Platform::LoadManner::WaitForRunning;
+        return Platform::LoadMode::WaitForRunning;
     if (!permissions.may_switch && !m_draining_since)
         return {};
     if (!m_draining_since)
@@ -173,11 +173,11 @@
         return {};
     auto const left = m_report->running + m_report->waiting;
     if (left == 0 || !permissions.may_evict)
-        return Platform::LoadManner::WaitForRunning;
+        return Platform::LoadMode::WaitForRunning;
     auto const timeout = left <= m_settings.few_requests ? m_settings.few_requests_drain_timeout : m_settings.drain_timeout;
     if (drained_for < timeout)
         return {};
-    return Platform::LoadManner::EvictRunning;
+    return Platform::LoadMode::EvictRunning;
 }
 
 std::vector<LoadAction> StagedLoad::step(Core::Time now, SwitchPermissions permissions)
--- a/Libraries/LibPlatform/HttpPlatform.cpp
+++ b/Libraries/LibPlatform/HttpPlatform.cpp
@@ -26,12 +26,12 @@
     return request;
 }
 
-/// The body of an answer as a schema type.
+/// Decodes the body of an answer as a schema type; PlatformUnavailable if there is no answer or its status is not 200.
 template<typename T>
 static Core::ErrorOr<T> decode(tl::expected<Transport::HttpAnswer, Transport::HttpFailure> const& answer)
 {
     if (!answer.has_value())
-        return Core::failure(Core::ErrorCode::PlatformUnavailable, "no answer");
+        return Core::failure(Core::ErrorCode::PlatformUnavailable, "no answer from the platform");
     if (answer->status != status_ok)
         return Core::failure(Core::ErrorCode::PlatformUnavailable, "status " + std::to_string(answer->status));
     return Schema::from_text<T>(answer->body);
--- a/Services/DirectEntry/CrashDetector.cpp
+++ b/Services/DirectEntry/CrashDetector.cpp
@@ -84,7 +84,7 @@
 void CrashDetector::on_terminated_while_running(std::string const& incarnation, Routing::CrashSuspects::Run const& run)
 {
     // An entry without links to others learns only from the store that a request was blamed.
-    m_blame_store.read_soon();
+    m_blame_store.read_unless_recent();
     auto const now = Core::monotonic_now();
     auto const blamed = m_suspects.on_server_terminated(incarnation, { run }, now);
     pending_news().suspects.push_back(m_suspects.to_announce(run.digest, now));
@@ -103,7 +103,7 @@
         }
         m_metrics.count("mountbarrow_requests_blamed_total", "from=\"" + std::string(source) + "\"");
         Core::log_event(Core::LogLevel::Error, "request_blamed", { { "digest", digest }, { "from", source }, { "servers", servers } });
-        m_blame_store.keep(m_suspects.to_announce(digest, Core::monotonic_now()));
+        m_blame_store.store_blame(m_suspects.to_announce(digest, Core::monotonic_now()));
         m_callbacks.blamed(digest);
     }
 }
@@ -127,7 +127,7 @@
     auto const was_blamed = m_suspects.find(digest)->times_blamed > 0;
     m_suspects.clear(digest);
     if (was_blamed)
-        m_blame_store.forget(digest);
+        m_blame_store.remove_blame(digest);
     pending_news().cleared.push_back(digest);
     m_metrics.count("mountbarrow_suspects_cleared_total", "reason=\"" + std::string(reason) + "\"");
     Core::log_event(Core::LogLevel::Info, "suspect_cleared", { { "digest", digest }, { "reason", reason } });
@@ -172,7 +172,7 @@
         m_suspects.on_peer_run(entry, run, now);
     for (auto const& digest : received.cleared) {
         m_suspects.clear(digest);
-        m_blame_store.on_forgotten(digest);
+        m_blame_store.on_removed_by_peer(digest);
     }
 }
 
--- a/Services/DirectEntry/CrashDetector.h
+++ b/Services/DirectEntry/CrashDetector.h
@@ -3,7 +3,7 @@
 
 #include <LibCore/EventLoop.h>
 #include <LibCore/Metrics.h>
-#include <LibPlatform/KeptBlames.h>
+#include <LibPlatform/StoredBlames.h>
 #include <LibRouting/CrashSuspects.h>
 #include <LibSchema/Generated.h>
 #include <LibTransport/BackendCall.h>
@@ -92,7 +92,7 @@
     Core::Metrics& m_metrics;
     Callbacks m_callbacks;
     Routing::CrashSuspects m_suspects;
-    Platform::KeptBlames m_blame_store;
+    Platform::StoredBlames m_blame_store;
     // Connection attempts in progress, by server id.
     std::map<std::string, TerminationCheck> m_termination_checks;
     // Servers that were found terminated, by id, with the time of detection.
--- a/Services/DirectEntry/DirectEntry.cpp
+++ b/Services/DirectEntry/DirectEntry.cpp
@@ -114,7 +114,7 @@
         .returning = m_returning,
         .service_queue = [this](std::string const& service) -> Routing::ServiceQueue& { return m_service_queues.try_emplace(service, queue_limit).first->second; },
         .request_admitted = [this](std::string const& service) { m_sharing.count_request(service); },
-        .server_list_doubted = [this] { m_facts.on_servers_doubted(); },
+        .server_list_doubted = [this] { m_facts.on_server_list_mismatch(); },
         .request_over = [this](uint64_t number) { m_loop.soon([this, number] { m_requests.erase(number); }); } }
 {
     Transport::LinkOptions options;
@@ -452,15 +452,15 @@
     };
 }
 
-/// Returns Far for an entry that has not sent its load yet: its failure domain is unknown.
+/// Returns OtherRegion for an entry that has not sent its load yet: its failure domain is unknown.
 Platform::Distance DirectEntry::distance(std::string const& entry) const
 {
     auto const& loads = m_sharing.peer_loads();
     auto const load = loads.find(entry);
     if (load == loads.end())
-        return Platform::Distance::Far;
+        return Platform::Distance::OtherRegion;
     auto const distance = Routing::distance_between(m_settings.failure_domain, load->second.failure_domain, m_settings.regions);
-    return distance == Routing::Distance::OtherRegion ? Platform::Distance::Far : Platform::Distance::Near;
+    return distance == Routing::Distance::OtherRegion ? Platform::Distance::OtherRegion : Platform::Distance::SameRegion;
 }
 
 void DirectEntry::on_facts(FactChanges const& changes)
--- a/Services/DirectEntry/EntryFacts.cpp
+++ b/Services/DirectEntry/EntryFacts.cpp
@@ -28,7 +28,7 @@
 {
     Platform::FactFollowerSettings result;
     if (bounds.contact_ms) {
-        auto const wait = Core::Duration(*bounds.contact_ms) - result.answer_patience - read_again_reserve;
+        auto const wait = Core::Duration(*bounds.contact_ms) - result.answer_timeout - read_again_reserve;
         result.configuration_wait = std::clamp(wait, shortest_configuration_wait, result.configuration_wait);
     }
     result.servers_interval = std::clamp(Core::Duration(bounds.drain_ms) - drain_reaction, shortest_list_interval, longest_list_interval);
@@ -57,12 +57,12 @@
     m_stored_versions.start([this] { m_follower.start(); });
 }
 
-Platform::KeptVersions::Callbacks EntryFacts::kept_callbacks()
+Platform::StoredVersions::Callbacks EntryFacts::kept_callbacks()
 {
     return {
         .read = [this](std::vector<Configuration::KnownVersion> const& known) { apply_known_versions(known); },
         .entries = [this] { return m_callbacks.entries(); },
-        .bad_record = [this](Platform::BadRecord const& bad) { m_bad_records.note(bad); },
+        .bad_record = [this](Platform::BadRecord const& bad) { m_bad_records.report_record(bad); },
     };
 }
 
@@ -85,16 +85,16 @@
         Core::log_event(Core::LogLevel::Warn, "older_record", { { "key", key } });
     }
     m_callbacks.changed(changes);
-    m_stored_versions.keep_new();
+    m_stored_versions.store_new_versions();
 }
 
 Platform::FactFollower::Callbacks EntryFacts::follower_callbacks()
 {
     return {
         .changed = [this](Configuration::FactChanges const& changes) { on_changed(changes); },
-        .failing = [this](Configuration::FactTopic topic, Platform::FactLogFault fault) { on_failing(topic, fault); },
-        .regained = [this](Configuration::FactTopic topic, Core::Duration lost_for) { on_regained(topic, lost_for); },
-        .bad_record = [this](Platform::BadRecord const& bad) { m_bad_records.note(bad); },
+        .read_failed = [this](Configuration::FactTopic topic, Platform::FactLogFault fault) { on_read_failed(topic, fault); },
+        .read_recovered = [this](Configuration::FactTopic topic, Core::Duration lost_for) { on_read_recovered(topic, lost_for); },
+        .bad_record = [this](Platform::BadRecord const& bad) { m_bad_records.report_record(bad); },
     };
 }
 
@@ -107,7 +107,7 @@
     // Earlier requests to other entries are lost with the links.
     m_behind_since.reset();
     m_version_requests = 0;
-    m_follower.read_anew();
+    m_follower.restart_reads();
 }
 
 bool EntryFacts::is_current_after_pause()
@@ -129,7 +129,7 @@
 
 // The platform's log.
 
-void EntryFacts::on_failing(Configuration::FactTopic topic, Platform::FactLogFault fault)
+void EntryFacts::on_read_failed(Configuration::FactTopic topic, Platform::FactLogFault fault)
 {
     char const* const reason = fault == Platform::FactLogFault::Refused ? "refused" : "unavailable";
     m_metrics.count("mountbarrow_log_failures_total", "reason=\"" + std::string(reason) + "\"");
@@ -139,14 +139,14 @@
     std::vector<Platform::Peer> peers;
     for (auto const& entry : m_callbacks.entries())
         peers.push_back({ entry, m_callbacks.distance(entry) });
-    for (auto const& entry : m_asked_peers.on_failing(topic, peers))
+    for (auto const& entry : m_asked_peers.on_read_failed(topic, peers))
         m_callbacks.send(entry, message);
 }
 
-void EntryFacts::on_regained(Configuration::FactTopic topic, Core::Duration lost_for)
+void EntryFacts::on_read_recovered(Configuration::FactTopic topic, Core::Duration lost_for)
 {
     m_failing.erase(topic);
-    m_asked_peers.on_regained(topic);
+    m_asked_peers.on_read_recovered(topic);
     // The naming times of the versions read just now are estimates; entries that kept reading the log know better ones.
     if (topic == Configuration::FactTopic::Configuration)
         m_version_requests = 0;
@@ -167,7 +167,7 @@
 
 void EntryFacts::on_entry_linked(std::string const& entry)
 {
-    if (m_asked_peers.may_ask_linked(m_callbacks.distance(entry)))
+    if (m_asked_peers.should_request_from_linked(m_callbacks.distance(entry)))
         m_callbacks.send(entry, request());
     request_versions(entry);
 }
@@ -213,7 +213,7 @@
 {
     auto const behind_since = m_behind_since.value_or(now);
     m_behind_since = behind_since;
-    bool const may_ask = Platform::AskedPeers::may_ask_ahead(m_callbacks.distance(entry), now - behind_since);
+    bool const may_ask = Platform::FactPeerSelector::should_request_from_newer(m_callbacks.distance(entry), now - behind_since);
     if (!may_ask || now - m_last_request_at < request_interval)
         return false;
     m_last_request_at = now;
@@ -233,7 +233,7 @@
     auto const now = Core::monotonic_now();
     auto const batch_age = Core::Duration(batch.age_ms);
     m_has_peer_facts = true;
-    auto const complete_at = m_follower.configuration_complete_at(now);
+    auto const complete_at = m_follower.configuration_complete_until(now);
     // Facts from an entry that is behind too must not make this one's facts count as more current than they are.
     if (batch_age < age(now))
         m_follower.on_peer_facts(batch_age);
--- a/Services/DirectEntry/EntryFacts.h
+++ b/Services/DirectEntry/EntryFacts.h
@@ -9,7 +9,7 @@
 #include <LibPlatform/BadRecords.h>
 #include <LibPlatform/FactFollower.h>
 #include <LibPlatform/FactLog.h>
-#include <LibPlatform/KeptVersions.h>
+#include <LibPlatform/StoredVersions.h>
 #include <functional>
 #include <memory>
 #include <optional>
@@ -70,7 +70,7 @@
     Core::Duration configuration_age(Core::Time now) const { return m_follower.configuration_age(now); }
 
     /// A backend server differs repeatedly from its entry in the list: reads the list again soon.
-    void on_servers_doubted() { m_follower.on_servers_doubted(); }
+    void on_server_list_mismatch() { m_follower.on_server_list_mismatch(); }
 
     /// Takes as named a version that an engine holds and that neither the log nor another entry has reported.
     void on_version_seen_at_engine(std::string const& model, int64_t version);
@@ -90,12 +90,12 @@
 
 private:
     Platform::FactFollower::Callbacks follower_callbacks();
-    Platform::KeptVersions::Callbacks kept_callbacks();
+    Platform::StoredVersions::Callbacks kept_callbacks();
     void on_changed(Configuration::FactChanges const&);
     /// Merges known versions into the replica, and reports and stores what changed.
     void apply_known_versions(std::vector<Configuration::KnownVersion> const&);
-    void on_failing(Configuration::FactTopic, Platform::FactLogFault);
-    void on_regained(Configuration::FactTopic, Core::Duration lost_for);
+    void on_read_failed(Configuration::FactTopic, Platform::FactLogFault);
+    void on_read_recovered(Configuration::FactTopic, Core::Duration lost_for);
     Schema::Message request() const;
     /// Requests what an entry knows of versions, from two entries at most.
     void request_versions(std::string const& entry);
@@ -112,7 +112,7 @@
     bool m_has_peer_facts { false };
     Configuration::FactReplica m_replica;
     Platform::FactFollower m_follower;
-    Platform::KeptVersions m_stored_versions;
+    Platform::StoredVersions m_stored_versions;
     // Topics whose reads fail at present.
     std::set<Configuration::FactTopic> m_failing;
     // Number of entries asked for their known versions since the start, the last pause, or the log's recovery.
@@ -121,7 +121,7 @@
     std::optional<Core::Time> m_behind_since;
     // When an entry that had read further was last asked.
     Core::Time m_last_request_at { 0 };
-    Platform::AskedPeers m_asked_peers;
+    Platform::FactPeerSelector m_asked_peers;
 };
 
 }
--- a/Services/DirectEntry/ProxiedRequest.h
+++ b/Services/DirectEntry/ProxiedRequest.h
@@ -77,7 +77,7 @@
     Routing::ServerRequirements needs();
     std::set<std::string> tried_servers() const;
     void send_to(Routing::ServerChoice const&, Core::Time now);
-    void start_call(Platform::BackendTerms const&);
+    void start_call(Platform::BackendRequestFields const&);
     void end_call();
     BackendAttempt::Moment moment(Core::Time now) const;
 
--- a/Tests/LibPlatform/TestAskedPeers.cpp
+++ b/Tests/LibPlatform/TestAskedPeers.cpp
@@ -8,61 +8,61 @@
 
 namespace {
 
-std::vector<Peer> const peers_of_two_regions { { "f1", Distance::Far }, { "n1", Distance::Near }, { "f2", Distance::Far }, { "n2", Distance::Near }, { "f3", Distance::Far } };
+std::vector<Peer> const peers_of_two_regions { { "f1", Distance::OtherRegion }, { "n1", Distance::SameRegion }, { "f2", Distance::OtherRegion }, { "n2", Distance::SameRegion }, { "f3", Distance::OtherRegion } };
 
-long count(std::vector<std::string> const& asked, char distance)
+long count(std::vector<std::string> const& identities, char first_letter)
 {
-    return std::count_if(asked.begin(), asked.end(), [&](auto const& identity) { return identity.front() == distance; });
+    return std::count_if(identities.begin(), identities.end(), [&](auto const& identity) { return identity.front() == first_letter; });
 }
 
 }
 
-TEST(AskedPeers, AListThatIsLateIsAskedOfThoseNearAlone)
+TEST(FactPeerSelector, TheServerListIsRequestedInTheSameRegionAfterFewFailures)
 {
-    AskedPeers asked;
+    FactPeerSelector selector;
     for (int i = 0; i < 2; ++i)
-        EXPECT_EQ(asked.on_failing(FactTopic::BackendServers, peers_of_two_regions), (std::vector<std::string> { "n1", "n2" }));
-    EXPECT_TRUE(asked.may_ask_linked(Distance::Near));
-    EXPECT_FALSE(asked.may_ask_linked(Distance::Far));
+        EXPECT_EQ(selector.on_read_failed(FactTopic::BackendServers, peers_of_two_regions), (std::vector<std::string> { "n1", "n2" }));
+    EXPECT_TRUE(selector.should_request_from_linked(Distance::SameRegion));
+    EXPECT_FALSE(selector.should_request_from_linked(Distance::OtherRegion));
 }
 
-TEST(AskedPeers, AListThatNobodyNearCanReadIsAskedOfThoseFar)
+TEST(FactPeerSelector, TheServerListIsRequestedInOtherRegionsAfterThreeFailures)
 {
-    AskedPeers asked;
+    FactPeerSelector selector;
     for (int i = 0; i < 2; ++i)
-        asked.on_failing(FactTopic::BackendServers, peers_of_two_regions);
-    EXPECT_EQ(count(asked.on_failing(FactTopic::BackendServers, peers_of_two_regions), 'f'), 1);
-    EXPECT_TRUE(asked.may_ask_linked(Distance::Far));
-    asked.on_regained(FactTopic::BackendServers);
-    EXPECT_FALSE(asked.may_ask_linked(Distance::Near));
-    EXPECT_EQ(count(asked.on_failing(FactTopic::BackendServers, peers_of_two_regions), 'f'), 0);
+        selector.on_read_failed(FactTopic::BackendServers, peers_of_two_regions);
+    EXPECT_EQ(count(selector.on_read_failed(FactTopic::BackendServers, peers_of_two_regions), 'f'), 1);
+    EXPECT_TRUE(selector.should_request_from_linked(Distance::OtherRegion));
+    selector.on_read_recovered(FactTopic::BackendServers);
+    EXPECT_FALSE(selector.should_request_from_linked(Distance::SameRegion));
+    EXPECT_EQ(count(selector.on_read_failed(FactTopic::BackendServers, peers_of_two_regions), 'f'), 0);
 }
 
-TEST(AskedPeers, TheOperatorsRecordsAreAskedOfOneFarAtOnce)
+TEST(FactPeerSelector, TheConfigurationIsRequestedInAnotherRegionAtTheFirstFailure)
 {
-    AskedPeers asked;
-    std::vector<std::string> far;
+    FactPeerSelector selector;
+    std::vector<std::string> other_region;
     for (int i = 0; i < 3; ++i) {
-        auto const now = asked.on_failing(FactTopic::Configuration, peers_of_two_regions);
-        EXPECT_EQ(count(now, 'n'), 2);
-        EXPECT_EQ(count(now, 'f'), 1);
-        far.push_back(now.back());
+        auto const selected = selector.on_read_failed(FactTopic::Configuration, peers_of_two_regions);
+        EXPECT_EQ(count(selected, 'n'), 2);
+        EXPECT_EQ(count(selected, 'f'), 1);
+        other_region.push_back(selected.back());
     }
-    EXPECT_EQ(far, (std::vector<std::string> { "f1", "f2", "f3" }));
+    EXPECT_EQ(other_region, (std::vector<std::string> { "f1", "f2", "f3" }));
 }
 
-TEST(AskedPeers, WithNobodyNearThoseFarAreAskedAtOnce)
+TEST(FactPeerSelector, WithoutPeersInTheSameRegionOtherRegionsAreAskedAtOnce)
 {
-    AskedPeers asked;
-    std::vector<Peer> const far { { "f1" }, { "f2" }, { "f3" }, { "f4" } };
-    EXPECT_EQ(asked.on_failing(FactTopic::BackendServers, far), (std::vector<std::string> { "f1", "f2", "f3" }));
-    EXPECT_TRUE(asked.on_failing(FactTopic::BackendServers, {}).empty());
+    FactPeerSelector selector;
+    std::vector<Peer> const other_region { { "f1" }, { "f2" }, { "f3" }, { "f4" } };
+    EXPECT_EQ(selector.on_read_failed(FactTopic::BackendServers, other_region), (std::vector<std::string> { "f1", "f2", "f3" }));
+    EXPECT_TRUE(selector.on_read_failed(FactTopic::BackendServers, {}).empty());
 }
 
-TEST(AskedPeers, OneFarThatHasReadFurtherIsAskedAfterThoseNear)
+TEST(FactPeerSelector, NewerPeersInOtherRegionsAreAskedLaterThanThoseInTheSameRegion)
 {
-    EXPECT_FALSE(AskedPeers::may_ask_ahead(Distance::Near, Core::Duration(300)));
-    EXPECT_TRUE(AskedPeers::may_ask_ahead(Distance::Near, Core::Duration(400)));
-    EXPECT_FALSE(AskedPeers::may_ask_ahead(Distance::Far, Core::Duration(400)));
-    EXPECT_TRUE(AskedPeers::may_ask_ahead(Distance::Far, Core::Duration(1500)));
+    EXPECT_FALSE(FactPeerSelector::should_request_from_newer(Distance::SameRegion, Core::Duration(300)));
+    EXPECT_TRUE(FactPeerSelector::should_request_from_newer(Distance::SameRegion, Core::Duration(400)));
+    EXPECT_FALSE(FactPeerSelector::should_request_from_newer(Distance::OtherRegion, Core::Duration(400)));
+    EXPECT_TRUE(FactPeerSelector::should_request_from_newer(Distance::OtherRegion, Core::Duration(1500)));
 }
--- a/Tests/LibPlatform/TestKeptVersions.cpp
+++ b/Tests/LibPlatform/TestStoredVersions.cpp
@@ -1,6 +1,6 @@
 // SPDX-License-Identifier: BSD-2-Clause
 #include <LibCore/Hash.h>
-#include <LibPlatform/KeptVersions.h>
+#include <LibPlatform/StoredVersions.h>
 #include <gtest/gtest.h>
 #include <map>
 #include <set>
@@ -9,12 +9,12 @@
 
 namespace {
 
-/// Records that outlive the processes of a test. A write is carried out at once, and answered or not.
+/// Records that outlive the processes of a test. A write is carried out at once, or refused.
 class SharedRecords {
 public:
     std::map<std::pair<std::string, int64_t>, Schema::KeptVersion> records;
     bool is_away { false };
-    /// Those whose writes are turned away, while the others are served.
+    /// Identities of the entries whose writes are refused; other entries are served.
     std::set<std::string> refused;
     int reads { 0 };
     int writes { 0 };
@@ -28,7 +28,7 @@
     {
     }
 
-    void read(ReadPatience, ReadCallback callback) override
+    void read(ReadTimeouts, ReadCallback callback) override
     {
         m_shared.reads += 1;
         if (m_shared.is_away) {
@@ -58,13 +58,13 @@
     std::string m_identity;
 };
 
-/// An entry, as far as versions go.
+/// The part of an entry that handles versions.
 struct Process {
     Process(Core::EventLoop& loop, SharedRecords& shared, std::string const& identity, std::vector<std::string> const& linked)
-        : kept(loop, std::make_unique<RecordsOfOne>(shared, identity), identity, facts, metrics,
+        : stored(loop, std::make_unique<RecordsOfOne>(shared, identity), identity, facts, metrics,
             { .read = [this](auto const& known) { facts.on_known_versions(known, Core::monotonic_now()); }, .entries = [linked] { return linked; }, .bad_record = [](auto const&) {} })
     {
-        kept.start([this] { is_started = true; });
+        stored.start([this] { is_started = true; });
     }
 
     void learn(int64_t version)
@@ -72,21 +72,21 @@
         auto const now = Core::monotonic_now();
         m_revision += 1;
         facts.on_records(Configuration::FactTopic::Configuration, { { Schema::FactKind::ModelVersion, "version/m", m_revision, Schema::ModelVersion { .model = "m", .version = version } } }, m_revision + 1, { now, now });
-        kept.keep_new();
+        stored.store_new_versions();
     }
 
     int64_t newest() const { return facts.versions().contains("m") ? facts.versions().at("m").newest() : 0; }
 
     Core::Metrics metrics;
     Configuration::FactReplica facts;
-    KeptVersions kept;
+    StoredVersions stored;
     bool is_started { false };
 
 private:
     int64_t m_revision { 0 };
 };
 
-/// Entries that are all linked to each other.
+/// Starts entries that all have links to each other.
 std::vector<std::unique_ptr<Process>> start_linked(Core::EventLoop& loop, SharedRecords& shared, std::vector<std::string> const& all)
 {
     std::vector<std::unique_ptr<Process>> processes;
@@ -106,7 +106,7 @@
 
 }
 
-TEST(KeptVersions, AProcessThatStartsKnowsWhatThoseBeforeItKnew)
+TEST(StoredVersions, AStartingProcessReadsStoredVersions)
 {
     Core::EventLoop loop;
     SharedRecords shared;
@@ -126,7 +126,7 @@
     EXPECT_EQ(second.newest(), 3);
 }
 
-TEST(KeptVersions, TwoOfTheLinkedEntriesWriteAVersionDown)
+TEST(StoredVersions, TwoLinkedEntriesStoreAVersion)
 {
     Core::EventLoop loop;
     SharedRecords shared;
@@ -139,7 +139,7 @@
     EXPECT_EQ(shared.records.size(), 1u);
 }
 
-TEST(KeptVersions, WhatCouldNotBeReadOrWrittenIsTriedAgain)
+TEST(StoredVersions, FailedReadsAndWritesAreRetried)
 {
     Core::EventLoop loop;
     SharedRecords shared;
@@ -147,12 +147,12 @@
     shared.is_away = true;
     Process process(loop, shared, "a", {});
     EXPECT_TRUE(process.is_started);
-    EXPECT_FALSE(process.kept.is_read());
+    EXPECT_FALSE(process.stored.is_read());
     process.learn(4);
-    EXPECT_EQ(shared.writes, 0) << "what is not read may be there already";
+    EXPECT_EQ(shared.writes, 0) << "nothing is written before the stored versions are read, as the version may already be stored";
     shared.is_away = false;
     run_for(loop, Core::Duration(1200));
-    EXPECT_TRUE(process.kept.is_read());
+    EXPECT_TRUE(process.stored.is_read());
     EXPECT_TRUE(shared.records.contains({ "m", 4 }));
     shared.is_away = true;
     process.learn(5);
@@ -162,7 +162,7 @@
     EXPECT_TRUE(shared.records.contains({ "m", 5 }));
 }
 
-TEST(KeptVersions, OnlyTheNewestOfAModelAreKept)
+TEST(StoredVersions, OnlyTheNewestVersionsOfAModelAreStored)
 {
     Core::EventLoop loop;
     SharedRecords shared;
@@ -176,7 +176,7 @@
     EXPECT_FALSE(shared.records.contains({ "m", 24 }));
 }
 
-TEST(KeptVersions, AVersionIsWrittenDownByOthersWhereTheStoreTurnsAwayThoseWhoseTurnItIs)
+TEST(StoredVersions, FallbackEntriesStoreAVersionIfTheStoreRefusesTheFirstWriters)
 {
     Core::EventLoop loop;
     SharedRecords shared;
@@ -190,7 +190,7 @@
     EXPECT_TRUE(shared.records.contains({ "m", 3 }));
 }
 
-TEST(KeptVersions, AVersionThatWasNamedJustBeforeARestartKeepsItsBound)
+TEST(StoredVersions, AVersionNamedJustBeforeARestartKeepsItsDeadline)
 {
     Core::EventLoop loop;
     SharedRecords shared;
@@ -201,12 +201,12 @@
     }
     Process second(loop, shared, "b", {});
     second.learn(2);
-    // Long after the start, as far as the time goes in which a version without a date is let off, and long before the bound.
+    // 3 s after the start, the time for which a version without a date is excused (2.5 s) is over, but the deadline (6.5 s) is not.
     auto const soon = Core::monotonic_now() + Core::Duration(3000);
     EXPECT_EQ(second.facts.versions().at("m").newest_of(soon - Core::Duration(6500), soon - Core::Duration(2500)), 0);
 }
 
-TEST(KeptVersions, AnInstanceWhoseTimeOfDayIsBehindDatesNoVersionBeforeItsNaming)
+TEST(StoredVersions, ASlowClockDoesNotDateAVersionBeforeItWasNamed)
 {
     Core::EventLoop loop;
     SharedRecords shared;
@@ -214,14 +214,14 @@
     running.learn(2);
     auto const before = Core::monotonic_now();
     run_for(loop, Core::Duration(10));
-    // Written down by another, an hour behind, just as this one read it.
+    // Another entry, whose clock is an hour behind, stores the version just as this entry reads it from the log.
     running.learn(3);
     shared.records[{ "m", 3 }] = { .known_at_ms = (Core::wall_now() - Core::Duration(3600000)).count(), .model = "m", .version = 3 };
     Process started(loop, shared, "b", {});
     started.learn(3);
     auto const now = Core::monotonic_now();
     running.facts.on_peer(started.facts.facts_since({}, Core::Duration(0), now), { now, now });
-    // This one had read on without it until just now.
+    // This entry read the log without that version until just now.
     EXPECT_GE(running.facts.versions().at("m").find(3)->known, before);
     EXPECT_EQ(running.facts.versions().at("m").newest_of(before - Core::Duration(1000), Core::Time(0)), 0);
 }
--- a/Tests/Platform/ForeignJson.h
+++ b/Tests/Platform/ForeignJson.h
@@ -6,7 +6,7 @@
 #include <string>
 #include <vector>
 
-// What another writer may make of a record: generators for property tests.
+// Generators for property tests: records as another writer may have damaged them.
 
 inline rc::Gen<std::string> odd_word()
 {
@@ -25,7 +25,7 @@
     return *rc::gen::arbitrary<std::string>();
 }
 
-/// Every field of a record, with those within them.
+/// Returns the paths of all fields of a record, nested ones included.
 inline std::vector<std::string> paths_of(nlohmann::json const& record)
 {
     std::vector<std::string> paths;
@@ -41,11 +41,11 @@
 
 inline std::string as_bytes(nlohmann::json const& record)
 {
-    // Bytes that are no UTF-8 come in where bytes are changed.
+    // Bytes that are not UTF-8 are added by foreign(), which changes the bytes.
     return record.dump(-1, ' ', false, nlohmann::json::error_handler_t::ignore);
 }
 
-/// What another writer may have made of a record.
+/// Generates a record as another writer may have damaged it: fields removed or replaced, bytes cut off or changed.
 inline std::string foreign(nlohmann::json record)
 {
     auto const changes = *rc::gen::inRange(0, 3);
@@ -60,12 +60,12 @@
             record[at] = odd_value();
     }
     auto bytes = as_bytes(record);
-    auto const way = *rc::gen::inRange(0, 6);
-    if (way == 0)
+    auto const damage_kind = *rc::gen::inRange(0, 6);
+    if (damage_kind == 0)
         bytes.resize(*rc::gen::inRange<size_t>(0, bytes.size()));
-    else if (way == 1)
+    else if (damage_kind == 1)
         bytes[*rc::gen::inRange<size_t>(0, bytes.size())] = *rc::gen::arbitrary<char>();
-    else if (way == 2)
+    else if (damage_kind == 2)
         bytes = *rc::gen::container<std::string>(rc::gen::arbitrary<char>());
     return bytes;
 }
--- a/Tests/Platform/TestBadRecords.cpp
+++ b/Tests/Platform/TestBadRecords.cpp
@@ -15,7 +15,7 @@
 
 constexpr int thousand = 1000;
 
-/// Directs the log to a file of its own for as long as it lives.
+/// Redirects the log to a temporary file during its lifetime.
 class LogFile {
 public:
     LogFile()
@@ -27,7 +27,7 @@
 
     ~LogFile()
     {
-        // Other tests log nothing.
+        // Discards what other tests log.
         Core::configure_log("test", Core::LogLevel::Error, "/dev/null");
         std::filesystem::remove(m_path);
     }
@@ -55,7 +55,7 @@
     return { key, revision, { code, "State" } };
 }
 
-/// Processor time of this thread, nanoseconds.
+/// Processor time of this thread in nanoseconds.
 int64_t processor_time()
 {
     timespec time {};
@@ -68,7 +68,7 @@
     return R"({"Service":"s","Address":"10.0.)" + std::to_string(number / 250) + "." + std::to_string(number % 250) + R"(:80","Zone":"z","Version":"v1","Slots":16,"State":"ready","ColdLeftMs":0,"Stage":"both","Models":[{"Name":"m","Version":3,"Adapters":[]}],"layers":{"From":0,"TargetVersion":16,"Version":3},"CallSeq":4})";
 }
 
-/// One of the ways in which another writer's record cannot be read.
+/// Returns a record that cannot be decoded, in one of four ways.
 std::string foreign_body(int number)
 {
     auto const body = good_body(number);
@@ -84,7 +84,7 @@
     }
 }
 
-/// What a process does with one reading of the list.
+/// Decodes and applies the records of one read of the list, as a process does.
 class Reader {
 public:
     void read(std::vector<std::string> const& bodies)
@@ -93,7 +93,7 @@
         for (size_t i = 0; i < bodies.size(); ++i)
             PlatformAdapter::add_record(Configuration::FactTopic::BackendServers, PlatformAdapter::CustomerKeys::NotExpected, "i-" + std::to_string(i), m_revision++, bodies[i], page);
         for (auto const& record : page.bad) {
-            bad.note(record);
+            bad.report_record(record);
             page.facts.push_back({ Schema::FactKind::BackendServer, record.key, record.revision, Configuration::Unreadable {} });
         }
         replica.on_records(Configuration::FactTopic::BackendServers, page.facts, m_revision, { Core::Time(0), {} });
@@ -107,7 +107,7 @@
     int64_t m_revision { 0 };
 };
 
-/// The least processor time of several readings.
+/// Returns the shortest processor time, in nanoseconds, of several reads of `repeated`.
 int64_t least_time(std::vector<std::string> const& first, std::vector<std::string> const& repeated)
 {
     static constexpr int readings = 7;
@@ -125,15 +125,15 @@
 
 }
 
-TEST(BadRecords, OneLineForEachKeyAndReasonHoweverOftenItIsWritten)
+TEST(BadRecords, EachKeyAndReasonIsLoggedOnce)
 {
     LogFile const log;
     Core::Metrics metrics;
     BadRecords records(metrics);
     for (int i = 0; i < thousand; ++i) {
-        records.note(bad("i-1", Core::ErrorCode::UnreadableField, i));
-        records.note(bad("i-1", Core::ErrorCode::MalformedJson, i));
-        records.note(bad("i-2", Core::ErrorCode::UnreadableField, i));
+        records.report_record(bad("i-1", Core::ErrorCode::UnreadableField, i));
+        records.report_record(bad("i-1", Core::ErrorCode::MalformedJson, i));
+        records.report_record(bad("i-2", Core::ErrorCode::UnreadableField, i));
     }
     EXPECT_EQ(log.lines("bad_record").size(), 3u);
     EXPECT_NE(log.lines("bad_record")[0].find(R"("key":"i-1","revision":"0","reason":"unreadable_field","detail":"State")"), std::string::npos);
@@ -141,24 +141,24 @@
     EXPECT_EQ(metrics.counter("mountbarrow_bad_records_total", "reason=\"malformed_json\""), 1u * thousand);
 }
 
-TEST(BadRecords, WhatIsRememberedAndLoggedIsBoundedAndAllIsCounted)
+TEST(BadRecords, LoggedRecordsAreLimitedAndAllAreCounted)
 {
     LogFile const log;
     Core::Metrics metrics;
     BadRecords records(metrics);
-    auto const count = 3 * BadRecords::most_remembered;
+    auto const count = 3 * BadRecords::max_logged;
     for (int again = 0; again < 2; ++again) {
         for (size_t i = 0; i < count; ++i)
-            records.note(bad("\xff" + std::to_string(i), Core::ErrorCode::MalformedJson, 1));
+            records.report_record(bad("\xff" + std::to_string(i), Core::ErrorCode::MalformedJson, 1));
     }
-    EXPECT_EQ(records.remembered(), BadRecords::most_remembered);
-    EXPECT_EQ(log.lines("bad_record").size(), BadRecords::most_remembered);
-    // The log itself says that there are more than it names.
+    EXPECT_EQ(records.logged_count(), BadRecords::max_logged);
+    EXPECT_EQ(log.lines("bad_record").size(), BadRecords::max_logged);
+    // A log line states that further records are not logged.
     EXPECT_EQ(log.lines("bad_records_not_named").size(), 1u);
     EXPECT_EQ(metrics.counter("mountbarrow_bad_records_total", "reason=\"malformed_json\""), 2 * count);
 }
 
-TEST(BadRecords, AThousandCostNoMoreThanAThousandGoodOnes)
+TEST(BadRecords, AThousandBadRecordsCostNoMoreThanAThousandGoodOnes)
 {
     LogFile const log;
     std::vector<std::string> good;
@@ -169,6 +169,6 @@
     }
     auto const cost_of_good = least_time(good, good);
     EXPECT_LE(least_time(foreign, foreign), cost_of_good);
-    // The same where each is the newest record of a server that is known.
+    // The same if each is the newest record of a known server.
     EXPECT_LE(least_time(good, foreign), cost_of_good);
 }
--- a/Tests/Platform/TestFieldFaults.cpp
+++ b/Tests/Platform/TestFieldFaults.cpp
@@ -8,8 +8,8 @@
 #include <rapidcheck/gtest.h>
 #include <set>
 
-// One field of a record is dropped, renamed or given another type, each field in turn. What does not need it stays in
-// force, and whatever is refused is refused for a typed reason.
+// Each field of a record in turn is removed, renamed or given another type. Everything that does not depend on it must stay in force, and
+// every refusal must be a typed error.
 
 using namespace PlatformAdapter;
 using Json = nlohmann::json;
@@ -39,7 +39,7 @@
     return Json::parse(R"({"Stage":"both","Models":[{"Name":"m","Version":3,"Adapters":[]}],"layers":{"From":0,"TargetVersion":16,"Version":3},"Busy":false,"CallSeq":2,"Waiting":1,"Running":12,"KvUsed":41000,"KvTotal":90000,"Handles":0,"pace":1.5,"born":1796600000123})");
 }
 
-/// Every field, element and nested field of a record.
+/// Returns the paths of all fields, elements and nested fields of a record.
 static std::vector<std::string> paths_within(Json const& value, std::string const& prefix = "")
 {
     std::vector<std::string> paths;
@@ -80,7 +80,7 @@
     std::vector<Json> const all { nullptr, true, -5, 0.5, 1e300, "word", Json::array({ 1 }), Json { { "x", 1 } } };
     std::vector<Json> others;
     for (auto const& other : all) {
-        // A whole number where a fraction stood is no fault.
+        // A whole number in place of a fraction is valid.
         if (other.type() != value.type() && !(other.is_number() && value.is_number() && other >= 0 && other == std::floor(other.get<double>())))
             others.push_back(other);
     }
@@ -119,8 +119,8 @@
     return error.code == Core::ErrorCode::UnreadableField && !error.detail.empty();
 }
 
-/// The route that a request for a host and path takes, as text; "blocked" if it would be refused as not run.
-static std::string way(Schema::RoutingConfiguration const& configuration, char const* host, char const* path)
+/// Returns the route of a request for a host and path as text; "blocked" if the request would be refused.
+static std::string route_text(Schema::RoutingConfiguration const& configuration, char const* host, char const* path)
 {
     Routing::RouteTable const table(std::make_shared<Schema::RoutingConfiguration const>(configuration));
     auto const* route = table.find(host, path);
@@ -139,16 +139,16 @@
     return found == right || found == "blocked";
 }
 
-// Without these the record as a whole says nothing that can be relied on.
+// Without these fields the record as a whole is refused.
 static std::set<std::string> const needed_for_any { "/Version", "/Routes", "/Services", "/Tenants" };
 
-/// A route that is no route at all may cover any request.
+/// The same holds for a route that is not an object, as it may cover any request.
 static bool is_needed_for_any(std::string const& path)
 {
     return needed_for_any.contains(path) || Pointer(path).parent_pointer().to_string() == "/Routes";
 }
 
-TEST(FieldFaults, OneFieldOfTheConfigurationTakesOutOnlyWhatNeedsIt)
+TEST(FieldFaults, ABadFieldOfTheConfigurationDisablesOnlyWhatDependsOnIt)
 {
     auto const whole = read_configuration(configuration_record().dump(), CustomerKeys::Expected);
     ASSERT_TRUE(whole.has_value());
@@ -161,20 +161,20 @@
             EXPECT_TRUE(is_typed_reason(read.error())) << what;
             continue;
         }
-        // Another route or service than the one at fault leads where it led.
+        // Routes and services other than the damaged one are unchanged.
         bool const is_about_stream = fault.path.starts_with("/Routes/0") || fault.path.starts_with("/Services/0") || fault.path == "/Routes/0";
         if (!is_about_stream && !fault.path.starts_with("/Routes")) {
-            EXPECT_EQ(way(*read, "a.example", "/s/1"), "/s/ engines") << what;
+            EXPECT_EQ(route_text(*read, "a.example", "/s/1"), "/s/ engines") << what;
         }
         if (fault.path.starts_with("/Routes/0/") && fault.path != "/Routes/0/Host") {
-            EXPECT_EQ(way(*read, "b.example", "/x/y/1"), "/x/y/ second") << what;
+            EXPECT_EQ(route_text(*read, "b.example", "/x/y/1"), "/x/y/ second") << what;
         }
-        // A request never takes a way that the whole record does not give it.
+        // A request never takes a route that it would not take with the undamaged record.
         if (fault.what != "dropped" || !Pointer(fault.path).parent_pointer().to_string().ends_with("Routes")) {
-            EXPECT_TRUE(is_refused_or_same(way(*read, "b.example", "/x/y/1"), "/x/y/ second")) << what;
-            EXPECT_NE(way(*read, "b.example", "/x/1"), "none") << what;
+            EXPECT_TRUE(is_refused_or_same(route_text(*read, "b.example", "/x/y/1"), "/x/y/ second")) << what;
+            EXPECT_NE(route_text(*read, "b.example", "/x/1"), "none") << what;
         }
-        // Nobody is let in who was not, and who cannot be told is not denied.
+        // No further caller is admitted, and a caller whose key may be among the undecodable ones is not denied.
         Routing::RouteTable const table(std::make_shared<Schema::RoutingConfiguration const>(*read));
         EXPECT_TRUE(read->has_customers) << what;
         for (auto const* key : { "k", "l", "m" }) {
@@ -186,7 +186,7 @@
     }
 }
 
-TEST(FieldFaults, ARateThatCannotBeReadIsMarkedAndTheServiceIsServed)
+TEST(FieldFaults, AnUndecodableRateIsReportedAndTheServiceStaysInUse)
 {
     std::set<std::string> const rates { "Slots", "Stride", "step_ms", "per_seq_ms", "context_per_k", "read_per_s", "pairs_per_m", "layers", "usual" };
     for (auto const& fault : faults_of(configuration_record())) {
@@ -195,14 +195,14 @@
             continue;
         auto const read = read_configuration(fault.record.dump(), CustomerKeys::Expected);
         ASSERT_TRUE(read.has_value()) << fault.path;
-        EXPECT_EQ(way(*read, "a.example", "/s/1"), "/s/ engines") << fault.path;
+        EXPECT_EQ(route_text(*read, "a.example", "/s/1"), "/s/ engines") << fault.path;
         EXPECT_FALSE(read->unreadable_fields.empty()) << fault.path << " " << fault.what;
         ASSERT_TRUE(read->services[0].timing.has_value());
         EXPECT_GT(Routing::EngineTimingModel(*read->services[0].timing).usual_service_ms(), 0) << fault.path << " " << fault.what;
     }
 }
 
-TEST(FieldFaults, AConfigurationWithoutCustomersIsRefusedWhereThereMustBeSome)
+TEST(FieldFaults, AConfigurationWithoutRequiredCustomersIsRefused)
 {
     auto record = configuration_record();
     record.erase("Tenants");
@@ -210,22 +210,22 @@
     EXPECT_FALSE(read_configuration(record.dump(), CustomerKeys::NotExpected)->has_customers);
 }
 
-TEST(FieldFaults, ARouteOfWhichNothingTellsWhatItCoversRefusesTheWhole)
+TEST(FieldFaults, ARouteWithoutHostAndPathRefusesTheConfiguration)
 {
     auto record = configuration_record();
     record["Routes"][0].erase("Host");
-    EXPECT_EQ(way(*read_configuration(record.dump(), CustomerKeys::Expected), "b.example", "/s/1"), "blocked");
+    EXPECT_EQ(route_text(*read_configuration(record.dump(), CustomerKeys::Expected), "b.example", "/s/1"), "blocked");
     record["Routes"][0].erase("PathPrefix");
     EXPECT_TRUE(is_typed_reason(read_configuration(record.dump(), CustomerKeys::Expected).error()));
 }
 
-/// A start that cannot be read is not made up.
+/// Checks that a start time that cannot be decoded is left out, not guessed.
 static void expect_start(std::optional<int64_t> started_at_ms, std::string const& faulty_path)
 {
     EXPECT_EQ(started_at_ms, faulty_path == "/born" ? std::nullopt : std::optional<int64_t>(1796600000123)) << faulty_path;
 }
 
-TEST(FieldFaults, OneFieldOfAListedServerLeavesItListedOrDraining)
+TEST(FieldFaults, ABadFieldOfAServerLeavesItListedOrDraining)
 {
     std::set<std::string> const needed { "/Service", "/Address" };
     for (auto const& fault : faults_of(server_record())) {
@@ -243,13 +243,13 @@
         if (!is_about_model) {
             EXPECT_EQ(read->held.at(0).version, 3) << what;
         }
-        // A version is never made up.
+        // A version is never guessed.
         for (auto const& held : read->held)
             EXPECT_TRUE(held.version == 3 || fault.path.starts_with("/layers") || fault.path.starts_with("/Models")) << what;
     }
 }
 
-TEST(FieldFaults, OneFieldOfAReportLeavesTheRestKnown)
+TEST(FieldFaults, ABadFieldOfAReportDoesNotAffectTheOthers)
 {
     for (auto const& fault : faults_of(report_record())) {
         auto const what = fault.path + " " + fault.what;
@@ -269,7 +269,7 @@
     }
 }
 
-TEST(FieldFaults, ANamedVersionNeedsItsNumberAlone)
+TEST(FieldFaults, ANamedVersionRequiresOnlyItsNumber)
 {
     Json const record { { "Model", "m" }, { "Version", 4 } };
     for (auto const& fault : faults_of(record)) {
@@ -283,7 +283,7 @@
     }
 }
 
-RC_GTEST_PROP(FieldFaults, SeveralFaultsAtOnceNeverEndTheProcess, ())
+RC_GTEST_PROP(FieldFaults, SeveralFaultsAtOnceNeverCrashTheProcess, ())
 {
     auto record = *rc::gen::element(configuration_record(), server_record(), report_record());
     auto const count = *rc::gen::inRange(1, 6);
@@ -298,10 +298,10 @@
     auto const configuration = read_configuration(body, *rc::gen::element(CustomerKeys::Expected, CustomerKeys::NotExpected));
     RC_ASSERT(configuration.has_value() || !configuration.error().detail.empty());
     if (configuration.has_value()) {
-        // What peers are sent reads as what was read.
+        // A peer can decode the configuration that it is sent.
         auto const again = Schema::from_text<Schema::RoutingConfiguration>(Schema::to_text(*configuration));
         RC_ASSERT(again.has_value());
-        (void)way(*again, "a.example", "/s/1");
+        (void)route_text(*again, "a.example", "/s/1");
     }
     (void)read_server("i-1", body);
     (void)read_report(body);
--- a/Tests/Platform/TestForeignRecords.cpp
+++ b/Tests/Platform/TestForeignRecords.cpp
@@ -14,8 +14,8 @@
 #include <rapidcheck/gtest.h>
 #include <regex>
 
-// An entry of the list of backend servers that another writer made: fields missing or of another type, words that are not
-// named, bytes that cannot be read. It names no backend server to use, and the other entries hold.
+// A record of the list of backend servers that another writer damaged: fields missing or of another type, undocumented values, bytes that
+// cannot be decoded. It must not provide a backend server to use, and the other records must stay in force.
 
 using namespace PlatformAdapter;
 using Configuration::FactReplica;
@@ -58,11 +58,11 @@
 
 using Answer = tl::expected<Platform::FactPage, Platform::FactLogFault>;
 
-/// A log that answers each read with the next of its pages.
+/// A log that answers each read of the list with the next of its pages.
 class PagedLog final : public Platform::FactLog {
 public:
-    void read(FactTopic topic, int64_t, Platform::ReadPatience, Callback callback) override { answer(topic, callback); }
-    void read_newest(FactTopic topic, Platform::ReadPatience, Callback callback) override { answer(topic, callback); }
+    void read(FactTopic topic, int64_t, Platform::ReadTimeouts, Callback callback) override { answer(topic, callback); }
+    void read_newest(FactTopic topic, Platform::ReadTimeouts, Callback callback) override { answer(topic, callback); }
 
     std::vector<Answer> pages;
     size_t next { 0 };
@@ -75,7 +75,7 @@
     }
 };
 
-/// What a process knows once a follower has taken these pages; the first is a listing, and so is one after lost history.
+/// The replica of a process after a follower has applied these pages. The first page is a listing, and so is one after HistoryGone.
 class Known {
 public:
     explicit Known(std::vector<Answer> pages)
@@ -86,7 +86,7 @@
         log.pages = std::move(pages);
         Platform::FactFollowerSettings settings;
         settings.servers_interval = Core::Duration(0);
-        Platform::FactFollower follower(loop, pauses, log, replica, settings, { .changed = [](auto const&) {}, .failing = [](auto, auto) {}, .regained = [](auto, auto) {}, .bad_record = [this](auto const& record) { bad.push_back(record); } });
+        Platform::FactFollower follower(loop, pauses, log, replica, settings, { .changed = [](auto const&) {}, .read_failed = [](auto, auto) {}, .read_recovered = [](auto, auto) {}, .bad_record = [this](auto const& record) { bad.push_back(record); } });
         follower.start();
         auto const poll = loop.every(Core::Duration(1), [&] {
             if (log.next >= log.pages.size())
@@ -95,14 +95,14 @@
         loop.run();
     }
 
-    /// Whether new work may go there, so far as its entry says.
+    /// Whether the server may get new requests, according to its record.
     bool is_in_use(std::string const& id) const
     {
         auto const* server = replica.server(id);
         return server && !server->is_draining;
     }
 
-    /// All that is known of one entry, as text.
+    /// Returns the decoded record of a server as text.
     std::string text(std::string const& id) const
     {
         auto const* server = replica.server(id);
@@ -128,8 +128,8 @@
     return timing;
 }
 
-/// Whether a request for the service would be sent to this server if it were the only one.
-bool would_be_sent(Schema::BackendServer const& server, std::string const& service)
+/// Returns whether a request for the service would be sent to this server if it were the only one.
+bool is_chosen_for(Schema::BackendServer const& server, std::string const& service)
 {
     Routing::ServerTable table({ .failure_domain = "z", .region = "r", .regions = { { "z", "r" } } }, 1);
     table.set_timing(engines, timing());
@@ -143,7 +143,7 @@
     return record.contains(name) && record[name].is_string() && !record[name].get<std::string>().empty();
 }
 
-/// The pages' own words for what can be called: read here apart from the decoder.
+/// Returns whether a record has a valid address by the platform's definition, checked independently of the decoder.
 bool has_address(Json const& record)
 {
     static std::regex const s_address(R"((\d{1,3})\.(\d{1,3})\.(\d{1,3})\.(\d{1,3}):(\d{1,5}))");
@@ -177,14 +177,14 @@
                 .as("foreign key");
 }
 
-bool can_stand_in_a_header(std::string const& text)
+bool is_valid_header_value(std::string const& text)
 {
     return !text.empty() && std::all_of(text.begin(), text.end(), [](char byte) { return byte > ' ' && byte < '\x7f'; });
 }
 
 }
 
-RC_GTEST_PROP(ForeignRecords, NameNothingToUseUnlessAllThatItsUseNeedsIsThere, ())
+RC_GTEST_PROP(ForeignRecords, AServerIsUsableOnlyWithAllRequiredFields, ())
 {
     auto const bytes = foreign(*rc::gen::element(engine_record(), plain_record("10.0.0.9:80")));
     auto const key = *rc::gen::inRange(0, 3) == 0 ? foreign_key() : "i-1";
@@ -196,13 +196,13 @@
     }
     if (!read->is_draining) {
         RC_ASSERT(may_be_used(record));
-        RC_ASSERT(can_stand_in_a_header(key));
+        RC_ASSERT(is_valid_header_value(key));
     }
-    if (would_be_sent(*read, engines)) {
+    if (is_chosen_for(*read, engines)) {
         RC_ASSERT(read->service == engines);
         RC_ASSERT(holds_the_model(record));
     }
-    // It goes to peers and into lines as it is.
+    // It must survive the encoding in messages to peers unchanged.
     Schema::Message message;
     message.facts.emplace();
     message.facts->facts.push_back(Configuration::to_message({ Schema::FactKind::BackendServer, key, 1, *read }));
@@ -216,7 +216,7 @@
     RC_ASSERT(std::get<Schema::BackendServer>(fact->value).id == key);
 }
 
-RC_GTEST_PROP(ForeignRecords, LeaveEveryOtherEntryAsItWas, ())
+RC_GTEST_PROP(ForeignRecords, OtherRecordsAreUnchanged, ())
 {
     std::vector<Record> own { { "i-1", as_bytes(engine_record("10.0.0.1:80")) }, { "i-2", as_bytes(engine_record("10.0.0.2:80")) }, { "i-3", as_bytes(plain_record("10.0.0.3:80")) } };
     auto const clean = Known({ page_of(own) });
@@ -225,7 +225,7 @@
     for (int i = 0; i < count; ++i) {
         auto const bytes = foreign(engine_record(*rc::gen::element<std::string>("10.0.0.1:80", "10.0.0.2:80", "10.0.0.3:80", "10.0.0.9:80")));
         auto const record = Json::parse(bytes, nullptr, false);
-        // A whole entry at the address is a new incarnation there: it takes the place of the one before.
+        // An intact record with the address of another is left out: it is a new incarnation there and replaces the earlier one.
         if (!may_be_used(record) || record["Service"] == "nobody" || record["Address"] == "10.0.0.9:80")
             records.push_back({ *rc::gen::element<std::string>("i-8", "i-9", "\xff"), bytes });
     }
@@ -240,22 +240,22 @@
         RC_ASSERT(known.text(record.key) == clean.text(record.key));
 }
 
-TEST(ForeignRecords, AnUnreadableRecordOfAKnownServerEndsNewWorkThereUntilItsNextHeartbeat)
+TEST(ForeignRecords, AnUndecodableRecordStopsNewRequestsUntilTheNextHeartbeat)
 {
     auto const good = as_bytes(engine_record());
     auto leaving = engine_record();
     leaving["State"] = "draining";
-    // A record that cannot be read may have said that the server is leaving.
+    // A record that cannot be decoded may have stated that the server is draining.
     auto const cut = as_bytes(leaving).substr(0, 100);
     Known const garbled({ page_of({ { "i-1", good } }), page_of({ { "i-1", cut } }, 1) });
     EXPECT_FALSE(garbled.is_in_use("i-1"));
     EXPECT_EQ(garbled.bad.size(), 1u);
-    // What runs there is still known: it goes on.
+    // The server stays known, so that requests in flight there continue.
     ASSERT_TRUE(garbled.replica.server("i-1"));
     EXPECT_EQ(garbled.replica.server("i-1")->address, "10.0.0.9:80");
     Known const back({ page_of({ { "i-1", good } }), page_of({ { "i-1", cut } }, 1), page_of({ { "i-1", good } }, 2) });
     EXPECT_TRUE(back.is_in_use("i-1"));
-    // An older record that comes late, as from a peer, changes nothing.
+    // An older record that arrives late, for example from a peer, changes nothing.
     Known late({ page_of({ { "i-1", good } }), page_of({ { "i-1", cut } }, 1) });
     Schema::FactBatch batch {};
     batch.facts.push_back(Configuration::to_message({ Schema::FactKind::BackendServer, "i-1", 0, *read_server("i-1", good) }));
@@ -263,7 +263,7 @@
     EXPECT_FALSE(late.is_in_use("i-1"));
 }
 
-TEST(ForeignRecords, AListingWithAnUnreadableRecordSaysTheSameAsTheRecordAlone)
+TEST(ForeignRecords, AnUndecodableRecordHasTheSameEffectInAListing)
 {
     Record const first { "i-1", as_bytes(engine_record()) };
     Record const second { "i-2", as_bytes(engine_record("10.0.0.2:80")) };
@@ -277,7 +277,7 @@
     EXPECT_EQ(listed.text("i-2"), read.text("i-2"));
 }
 
-TEST(ForeignRecords, AnUnreadableRecordUnderANewKeyIsNothing)
+TEST(ForeignRecords, AnUndecodableRecordOfANewKeyIsIgnored)
 {
     Known const known({ page_of({ { "i-1", as_bytes(engine_record()) } }), page_of({ { "i-9", "\xff\xfe" } }, 1) });
     EXPECT_EQ(known.replica.servers().size(), 1u);
@@ -285,7 +285,7 @@
     EXPECT_EQ(known.bad.size(), 1u);
 }
 
-TEST(ForeignRecords, AWordForTheStateThatIsNotNamedIsTold)
+TEST(ForeignRecords, AnUnknownStateIsReported)
 {
     for (auto const* word : { "", "READY", "gone", "ready " }) {
         auto record = engine_record();
@@ -297,21 +297,21 @@
     }
 }
 
-TEST(ForeignRecords, AnEngineThatHoldsAnotherModelOrNobodyKnowsWhichIsNotUsed)
+TEST(ForeignRecords, AnEngineWithAnotherOrUnknownModelIsNotUsed)
 {
     for (auto const& name : { Json("other"), Json(7), Json(nullptr) }) {
         auto record = engine_record();
         record["Models"][0]["Name"] = name;
-        EXPECT_FALSE(would_be_sent(*read_server("i-1", as_bytes(record)), engines)) << name;
-        // Nor as a plain server of a service without a model.
+        EXPECT_FALSE(is_chosen_for(*read_server("i-1", as_bytes(record)), engines)) << name;
+        // It is not used as a server of a service without a model either.
         record["Service"] = "plain";
-        EXPECT_FALSE(would_be_sent(*read_server("i-1", as_bytes(record)), "plain")) << name;
+        EXPECT_FALSE(is_chosen_for(*read_server("i-1", as_bytes(record)), "plain")) << name;
     }
-    EXPECT_TRUE(would_be_sent(*read_server("i-1", as_bytes(engine_record())), engines));
-    EXPECT_TRUE(would_be_sent(*read_server("i-1", as_bytes(plain_record("10.0.0.9:80"))), "plain"));
+    EXPECT_TRUE(is_chosen_for(*read_server("i-1", as_bytes(engine_record())), engines));
+    EXPECT_TRUE(is_chosen_for(*read_server("i-1", as_bytes(plain_record("10.0.0.9:80"))), "plain"));
 }
 
-TEST(ForeignRecords, AnEntryThatNamesNothingToUseTakesNoAddress)
+TEST(ForeignRecords, AnUnusableRecordDoesNotTakeOverAnAddress)
 {
     for (auto const& [name, value] : std::map<std::string, Json> { { "State", "gone" }, { "State", 7 }, { "Service", "nobody" } }) {
         auto record = engine_record();
@@ -324,11 +324,11 @@
     EXPECT_TRUE(succeeded.is_in_use("i-9"));
 }
 
-TEST(ForeignRecords, AnAddressThatWasMisreadOnceIsGivenBack)
+TEST(ForeignRecords, AWrongAddressIsCorrectedByTheNextHeartbeat)
 {
     auto const first = as_bytes(engine_record("10.0.0.1:80"));
     auto const second = as_bytes(engine_record("10.0.0.2:80"));
-    // One record of i-2 names the address of i-1, its next heartbeat its own again.
+    // One record of i-2 contains the address of i-1; its next heartbeat has its own address again.
     Known const known({ page_of({ { "i-1", first }, { "i-2", second } }), page_of({ { "i-2", first } }, 2), page_of({ { "i-2", second } }, 3) });
     EXPECT_TRUE(known.is_in_use("i-1"));
     EXPECT_TRUE(known.is_in_use("i-2"));
@@ -337,7 +337,7 @@
     EXPECT_TRUE(other.is_in_use("i-2"));
 }
 
-/// A store that answers with what a test gives it.
+/// Runs a store that answers with records given by the test.
 class ForeignStoreTest : public LoopTest {
 protected:
     void SetUp() override
@@ -356,7 +356,7 @@
             exchange.reply(200, {}, listing(exchange.query("AfterRev").value_or("")));
     }
 
-    /// One key a page, so that each key is asked to go on behind.
+    /// Returns one key per page, so that each key is once the key after which the listing continues.
     std::string listing(std::string const& after) const
     {
         auto const next = items.upper_bound(after);
@@ -389,12 +389,12 @@
     {
         HttpFactLog log(m_loop, "127.0.0.1:" + std::to_string(m_server->port()), CustomerKeys::NotExpected);
         std::optional<tl::expected<Platform::FactPage, Platform::FactLogFault>> result;
-        Platform::ReadPatience const patience { .wait = Core::Duration(0), .answer = Core::Duration(10000) };
-        auto const take = [&](auto page) { result = std::move(page); };
+        Platform::ReadTimeouts const timeouts { .wait = Core::Duration(0), .answer = Core::Duration(10000) };
+        auto const on_page = [&](auto page) { result = std::move(page); };
         if (is_listing)
-            log.read_newest(FactTopic::BackendServers, patience, take);
+            log.read_newest(FactTopic::BackendServers, timeouts, on_page);
         else
-            log.read(FactTopic::BackendServers, 0, patience, take);
+            log.read(FactTopic::BackendServers, 0, timeouts, on_page);
         run_until([&] { return result.has_value() || calls > most_calls; });
         return result.value_or(tl::unexpected(Platform::FactLogFault::Unavailable));
     }
@@ -414,10 +414,10 @@
     return keys;
 }
 
-// The engine record in base64, as a listing has it.
+// A record of a plain server in base64, as a listing contains it.
 static char const* const plain_in_base64 = "eyJTZXJ2aWNlIjoicGxhaW4iLCJBZGRyZXNzIjoiMTAuMC4wLjk6ODAiLCJTdGF0ZSI6InJlYWR5In0=";
 
-TEST_F(ForeignStoreTest, ARecordWhoseFrameNamesNoKeyCostsNoOther)
+TEST_F(ForeignStoreTest, ARecordWithoutAKeyDoesNotAffectOthers)
 {
     for (auto const& odd : { framed(""), framed("\xff"), framed(std::string("\0", 1)), framed("\x05"
                                                                                               "ab") }) {
@@ -431,7 +431,7 @@
     }
 }
 
-TEST_F(ForeignStoreTest, AnyKeyCanBeGoneOnBehindInAListing)
+TEST_F(ForeignStoreTest, AListingContinuesAfterAnyKey)
 {
     std::vector<std::string> const odd { "a b", "a&From=0", "a%41", "a+b", "a#b", "a\r\nX: 1", "a\"b", "\xc3\xa4" };
     list("i-1", plain_in_base64, 1);
@@ -444,7 +444,7 @@
     EXPECT_EQ(page->bad.size(), odd.size());
 }
 
-TEST_F(ForeignStoreTest, AValueThatIsNoBase64IsNoRemoval)
+TEST_F(ForeignStoreTest, AnInvalidBase64ValueIsNotARemoval)
 {
     list("i-1", "%%%", 1);
     list("i-2", plain_in_base64, 2);
@@ -454,7 +454,7 @@
     EXPECT_EQ(page->bad.size(), 1u);
 }
 
-TEST_F(ForeignStoreTest, AListingWithAKeyThatIsNoTextIsReadToItsEnd)
+TEST_F(ForeignStoreTest, AListingWithANonTextKeyIsReadToTheEnd)
 {
     list("i-1", plain_in_base64, 1);
     items["i-2"] = "{\"Key\":\"i-\xff\",\"Value\":\"e30=\",\"offset\":2}";
@@ -465,7 +465,7 @@
     EXPECT_EQ(page->bad.size(), 1u);
 }
 
-TEST_F(ForeignStoreTest, AListingThatGetsNoFurtherEnds)
+TEST_F(ForeignStoreTest, AListingWithoutProgressEnds)
 {
     items["i-1"] = R"({"Key":7,"Value":"e30=","offset":2})";
     list("i-2", plain_in_base64, 3);
