--- a/Libraries/LibConfiguration/FactReplica.cpp
+++ b/Libraries/LibConfiguration/FactReplica.cpp
@@ -18,7 +18,7 @@
     return Schema::to_value(a) == Schema::to_value(b);
 }
 
-/// Returns true if the server counts as draining only because a part of its record could not be parsed.
+/// Returns true if the server counts as draining only because a part of its record could not be decoded.
 static bool is_presumed_draining(Schema::BackendServer const& server)
 {
     return server.is_draining && !server.unreadable_fields.empty();
--- a/Libraries/LibConfiguration/FactReplica.h
+++ b/Libraries/LibConfiguration/FactReplica.h
@@ -27,7 +27,7 @@
 /// The value of a key that was removed from the log.
 struct Removed { };
 
-/// The value of a backend server's record that could not be parsed.
+/// The value of a backend server's record that could not be decoded.
 struct Unreadable { };
 
 using FactValue = std::variant<Removed, Unreadable, std::shared_ptr<Schema::RoutingConfiguration const>, Schema::ModelVersion, Schema::BackendServer>;
@@ -69,7 +69,7 @@
     Core::Time earliest() const { return sent_after.value_or(now); }
 };
 
-/// A named version that was recorded by an earlier process, or that an engine already holds.
+/// A named version that is known from a stored record (of an earlier or another process), or that an engine already holds.
 struct KnownVersion {
     std::string model;
     int64_t version { 0 };
@@ -96,12 +96,12 @@
     /// write, so the highest version counts, whatever the offset of its record.
     FactChanges on_history(std::vector<Fact> const&, ReadTime const&);
 
-    /// Applies facts that a peer sent; facts that cannot be parsed are ignored. A version that is new to this process was named
+    /// Applies facts that a peer sent; facts that cannot be decoded are ignored. A version that is new to this process was named
     /// after both the peer and this process had last read the log without finding it.
     FactChanges on_peer(Schema::FactBatch const&, ReadTime const&);
 
-    /// Applies versions that were recorded by earlier processes. The log's newest record of the same key may name an older version,
-    /// which then does not replace these.
+    /// Applies versions that were read from stored records or seen at an engine. The log's newest record of the same key may name an
+    /// older version, which then does not replace these.
     FactChanges on_known_versions(std::vector<KnownVersion> const&, Core::Time now);
 
     /// Returns the offset to read a topic from next.
@@ -167,7 +167,7 @@
     void merge_peer_versions(std::string const& model, Schema::Fact const&, ReadTime const&, FactChanges&);
     /// Applies a record of the list of backend servers if it is newer than the one held.
     void apply_server(Fact const&, FactChanges&);
-    /// Marks a known backend server as draining because its newest record could not be parsed.
+    /// Marks a known backend server as draining because its newest record could not be decoded.
     void apply_unreadable(Fact const&, FactChanges&);
     /// Records the incarnation of a server if it is later than the known one of the same identity.
     void update_incarnation(Schema::BackendServer const&, int64_t revision);
--- a/Libraries/LibPlatform/BadRecords.h
+++ b/Libraries/LibPlatform/BadRecords.h
@@ -19,14 +19,15 @@
 
     explicit BadRecords(Core::Metrics&);
 
-    /// Counts the record, and logs it if it is the first of its key and reason.
+    /// Counts the record, and logs it if it is the first of its key and reason and fewer than `max_logged` were logged.
     void report_record(BadRecord const&);
 
     /// Number of pairs of key and reason that were logged.
     size_t logged_count() const { return m_logged.size(); }
 
 private:
-    /// Returns true if the record is the first of its key and reason, so that it must be logged.
+    /// Remembers the key and reason of the record. Returns true if they are new, so that the record must be logged; false also once
+    /// `max_logged` pairs are remembered.
     bool is_first_occurrence(BadRecord const&);
 
     Core::Metrics& m_metrics;
--- a/Libraries/LibPlatform/EngineApi.h
+++ b/Libraries/LibPlatform/EngineApi.h
@@ -64,7 +64,7 @@
     /// Stores a chunk in the engine's staging area, from which start() loads. The callback gets true if the engine confirmed it.
     virtual void stage(std::string const& model, size_t chunk, std::string const& bytes, std::function<void(bool)>) = 0;
 
-    /// Reads a staged chunk back; the callback gets null if there is none.
+    /// Reads a staged chunk back; the callback gets null if there is none or the engine did not return it.
     virtual void read_staged(std::string const& model, size_t chunk, std::function<void(std::shared_ptr<std::string const>)>) = 0;
 };
 
--- a/Libraries/LibPlatform/FactFollower.h
+++ b/Libraries/LibPlatform/FactFollower.h
@@ -43,7 +43,8 @@
         std::function<void(Configuration::FactChanges const&)> changed;
         /// The log did not answer a read, or refused it; peers may have newer facts. Called at each failed read.
         std::function<void(Configuration::FactTopic, FactLogFault)> read_failed;
-        /// The log answers again after failed reads; the duration is the time since the topic was last known to be current.
+        /// The log answers again after failed reads or after restart_reads(); the duration is the time since the topic was last known to
+        /// be current.
         std::function<void(Configuration::FactTopic, Core::Duration)> read_recovered;
         /// A record could not be decoded.
         std::function<void(BadRecord const&)> bad_record;
@@ -98,8 +99,9 @@
         Core::Time read_before_began_at { 0 };
         // Failed reads in a row.
         int failures { 0 };
-        // Start of a read that failed; a record may have been written since. Of several failed reads in a row this is the first. Once so
-        // many have failed that the log itself must be down, it is the last one: nothing can be written until the log is back.
+        // Start of a read that failed or was abandoned, or, while more pages follow, the lower bound of the write times of the first page;
+        // a record may have been written since. Of several failed reads in a row this is the first. Once so many have failed that the log
+        // itself must be down, it is the last one: nothing can be written until the log is back.
         std::optional<Core::Time> gap_began_at;
         // The next read was moved forward because a backend server differs from the list.
         bool is_moved_forward { false };
--- a/Libraries/LibPlatform/FactLog.h
+++ b/Libraries/LibPlatform/FactLog.h
@@ -61,8 +61,8 @@
     /// Reads the newest record of each key of a topic, without waiting for new ones.
     virtual void read_newest(Configuration::FactTopic, ReadTimeouts, Callback) = 0;
 
-    /// Reads records before the offset `end` that later records of the same keys have replaced. Returns the most recent of them, as far
-    /// as the log still stores them and their total size is limited. The default is for a log without history: an empty page.
+    /// Reads records before the offset `end` that later records of the same keys have replaced. Returns only the most recent
+    /// ones that the log still stores, because their total size is limited. The default is for a log without history: an empty page.
     virtual void read_history(Configuration::FactTopic, int64_t /*end*/, ReadTimeouts, Callback callback)
     {
         auto const answer = std::move(callback);
--- a/Libraries/LibPlatform/StoredBlames.cpp
+++ b/Libraries/LibPlatform/StoredBlames.cpp
@@ -151,7 +151,8 @@
         return;
     m_records->remove_blames(digests, [this, digests](bool is_done) {
         m_metrics.count("mountbarrow_blame_records_total", std::string("outcome=\"") + (is_done ? "dropped" : "failed") + "\"");
-        // A record that could not be removed expires within a day, and each later read tries again to remove it.
+        // A record that could not be removed expires within a day. Each read tries again to remove those records that are expired or beyond
+        // the newest `max_used`.
         Core::log_event(is_done ? Core::LogLevel::Info : Core::LogLevel::Warn, "blames_dropped", { { "count", std::to_string(digests.size()) }, { "outcome", is_done ? "written" : "failed" } });
     });
 }
--- a/Libraries/LibPlatform/StoredBlames.h
+++ b/Libraries/LibPlatform/StoredBlames.h
@@ -39,7 +39,7 @@
     void store_blame(Schema::CrashSuspect const&);
     /// Removes the blame of a request, here and from the store.
     void remove_blame(std::string const& digest);
-    /// Removes the blame here only, after another entry removed it from the store.
+    /// Removes the blame here only: another entry has cleared it, and removes it from the store.
     void on_removed_by_peer(std::string const& digest);
 
 private:
--- a/Libraries/LibPlatform/StoredVersions.h
+++ b/Libraries/LibPlatform/StoredVersions.h
@@ -38,7 +38,7 @@
     /// Reads the stored versions, with retries until a read is answered. Calls `then` once, after the first read, even if it failed.
     void start(std::function<void()> then);
 
-    /// Whether the versions stored before the start of this process are known. Until then a version without a date may be an old one.
+    /// Whether the versions stored before the start of this process are known. Until then a version whose naming time is unknown may be an old one.
     bool is_read() const { return m_is_read; }
 
     /// Stores the versions that are not stored yet and that this entry is responsible for, one after another.
--- a/Libraries/LibPlatform/VersionRecords.h
+++ b/Libraries/LibPlatform/VersionRecords.h
@@ -23,7 +23,7 @@
     /// Reads all records.
     virtual void read(ReadTimeouts, ReadCallback) = 0;
 
-    /// Writes a record and removes the `forgotten` ones in one transaction. The callback gets false if that may not have been done.
+    /// Writes a record and removes the `removed` ones in one transaction. The callback gets false if that may not have been done.
     virtual void write(Schema::KeptVersion const&, std::vector<Schema::ModelVersion> const& forgotten, std::function<void(bool)>) = 0;
 };
 
--- a/Tests/LibPlatform/TestStoredVersions.cpp
+++ b/Tests/LibPlatform/TestStoredVersions.cpp
@@ -201,7 +201,7 @@
     }
     Process second(loop, shared, "b", {});
     second.learn(2);
-    // 3 s after the start, the time for which a version without a date is excused (2.5 s) is over, but the deadline (6.5 s) is not.
+    // 3 s after the start, the time for which a version whose naming time is unknown is excused (2.5 s) is over, but the deadline (6.5 s) is not.
     auto const soon = Core::monotonic_now() + Core::Duration(3000);
     EXPECT_EQ(second.facts.versions().at("m").newest_of(soon - Core::Duration(6500), soon - Core::Duration(2500)), 0);
 }
