--- a/Libraries/LibConfiguration/NamedVersions.cpp
+++ b/Libraries/LibConfiguration/NamedVersions.cpp
@@ -15,7 +15,7 @@
     return std::max(*a, *b);
 }
 
-bool NamedVersion::was_certainly_named_by(Core::Time time) const
+bool NamedVersion::counts_as_named_by(Core::Time time) const
 {
     bool const is_remembered = !named && remembered && *remembered <= time;
     return known <= time || is_remembered;
@@ -32,7 +32,7 @@
     int64_t newest = 0;
     for (auto const& each : versions) {
         bool const may_be_named = each.may_have_been_named_by(named_by);
-        if (each.was_certainly_named_by(named_by) || (may_be_named && each.found <= found_by))
+        if (each.counts_as_named_by(named_by) || (may_be_named && each.found <= found_by))
             newest = std::max(newest, each.version);
     }
     return newest;
--- a/Libraries/LibConfiguration/NamedVersions.h
+++ b/Libraries/LibConfiguration/NamedVersions.h
@@ -29,7 +29,7 @@
     Core::Time presumed_named_at() const { return named.value_or(remembered.value_or(known)); }
     /// Returns true if, for all that is known, the version was named by the given time: some process knew it by then, or `named` is
     /// unknown and `remembered` is not later.
-    bool was_certainly_named_by(Core::Time) const;
+    bool counts_as_named_by(Core::Time) const;
     /// Returns true if the version can have been named by the given time. Always true if neither `named` nor `remembered` is known.
     bool may_have_been_named_by(Core::Time) const;
 };
--- a/Libraries/LibMembership/InstanceList.cpp
+++ b/Libraries/LibMembership/InstanceList.cpp
@@ -84,7 +84,7 @@
     std::set<std::string> linked;
     for (auto const& [service, agents] : by_service) {
         size_t const wanted = entries.size() * links_per_service;
-        size_t const per_agent = std::max(least_entries_per_agent, (wanted + agents.size() - 1) / agents.size());
+        size_t const per_agent = std::max(min_entries_per_agent, (wanted + agents.size() - 1) / agents.size());
         for (auto const& agent : agents) {
             auto order = Core::rendezvous_order(agent, entries);
             auto const end = order.begin() + static_cast<ptrdiff_t>(std::min(per_agent, order.size()));
--- a/Libraries/LibMembership/InstanceList.h
+++ b/Libraries/LibMembership/InstanceList.h
@@ -45,11 +45,11 @@
 
 /// Returns the identities of the agents that an entry keeps a link to: about `links_per_service` agents of each service. They are chosen
 /// by rendezvous hash so that every agent of a service is linked to the same number of entries, and to at least
-/// `least_entries_per_agent`. If a service has few agents or there are few entries, these are all agents of the service.
+/// `min_entries_per_agent`. If a service has few agents or there are few entries, these are all agents of the service.
 std::set<std::string> agents_linked_to(std::string const& entry, InstanceList const&, size_t links_per_service);
 
 /// Minimum number of entries that agents_linked_to() links to each agent, if there are as many.
-inline constexpr size_t least_entries_per_agent = 3;
+inline constexpr size_t min_entries_per_agent = 3;
 
 /// Returns true if the agent is one of the three that forward the entries' demand to one another. Every process with the same list
 /// chooses the same agents, by rendezvous hash.
--- a/Libraries/LibPlatform/BadRecords.cpp
+++ b/Libraries/LibPlatform/BadRecords.cpp
@@ -10,7 +10,7 @@
 {
 }
 
-bool BadRecords::is_first_occurrence(BadRecord const& bad)
+bool BadRecords::remember_if_new(BadRecord const& bad)
 {
     if (m_logged.size() >= max_logged || !m_logged.emplace(bad.key, bad.error.code).second)
         return false;
@@ -23,7 +23,7 @@
 {
     std::string const reason = Core::error_name(bad.error.code);
     m_metrics.count("mountbarrow_bad_records_total", "reason=\"" + reason + "\"");
-    if (is_first_occurrence(bad))
+    if (remember_if_new(bad))
         Core::log_event(Core::LogLevel::Error, "bad_record", { { "key", bad.key }, { "revision", std::to_string(bad.revision) }, { "reason", reason }, { "detail", bad.error.detail } });
 }
 
--- a/Libraries/LibPlatform/BadRecords.h
+++ b/Libraries/LibPlatform/BadRecords.h
@@ -28,7 +28,7 @@
 private:
     /// Remembers the key and reason of the record. Returns true if they are new, so that the record must be logged; false also once
     /// `max_logged` pairs are remembered.
-    bool is_first_occurrence(BadRecord const&);
+    bool remember_if_new(BadRecord const&);
 
     Core::Metrics& m_metrics;
     std::set<std::pair<std::string, Core::ErrorCode>> m_logged;
--- a/Libraries/LibPlatform/AskedPeers.cpp
+++ b/Libraries/LibPlatform/FactPeerSelector.cpp
@@ -1,5 +1,5 @@
 // SPDX-License-Identifier: BSD-2-Clause
-#include <LibPlatform/AskedPeers.h>
+#include <LibPlatform/FactPeerSelector.h>
 
 #include <algorithm>
 
--- a/Libraries/LibPlatform/StoredBlames.h
+++ b/Libraries/LibPlatform/StoredBlames.h
@@ -35,7 +35,8 @@
     /// Like read(), but without effect if the last read began less than 2 s ago.
     void read_unless_recent();
 
-    /// Stores the blame of a request if this entry is responsible for it. No effect if the request is only suspected or the blame is stored.
+    /// Stores the blame of a request if this entry is responsible for it. No effect if the request is only suspected or the blame is
+    /// stored.
     void store_blame(Schema::CrashSuspect const&);
     /// Removes the blame of a request, here and from the store.
     void remove_blame(std::string const& digest);
--- a/Libraries/LibPlatform/StoredVersions.cpp
+++ b/Libraries/LibPlatform/StoredVersions.cpp
@@ -123,11 +123,11 @@
     m_is_writing = true;
     auto const known_for = Core::monotonic_now() - std::min(named.known, named.remembered.value_or(named.known));
     Schema::KeptVersion const record { .known_at_ms = (Core::wall_now() - known_for).count(), .model = version.first, .version = version.second };
-    auto const forgotten = surplus_versions(version.first);
-    m_records->write(record, forgotten, [this, version, forgotten](bool is_done) { on_written(version, forgotten, is_done); });
+    auto const removed = surplus_versions(version.first);
+    m_records->write(record, removed, [this, version, removed](bool is_done) { on_written(version, removed, is_done); });
 }
 
-void StoredVersions::on_written(Version const& version, std::vector<Schema::ModelVersion> const& forgotten, bool is_done)
+void StoredVersions::on_written(Version const& version, std::vector<Schema::ModelVersion> const& removed, bool is_done)
 {
     m_is_writing = false;
     m_metrics.count("mountbarrow_version_records_total", std::string("outcome=\"") + (is_done ? "written" : "failed") + "\"");
@@ -138,7 +138,7 @@
     }
     m_failures = 0;
     m_stored.insert(version);
-    for (auto const& each : forgotten)
+    for (auto const& each : removed)
         m_stored.erase({ each.model, each.version });
     m_loop.soon([this] { store_new_versions(); });
 }
--- a/Libraries/LibPlatform/StoredVersions.h
+++ b/Libraries/LibPlatform/StoredVersions.h
@@ -38,7 +38,8 @@
     /// Reads the stored versions, with retries until a read is answered. Calls `then` once, after the first read, even if it failed.
     void start(std::function<void()> then);
 
-    /// Whether the versions stored before the start of this process are known. Until then a version whose naming time is unknown may be an old one.
+    /// Whether the versions stored before the start of this process are known. Until then a version whose naming time is unknown may be an
+    /// old one.
     bool is_read() const { return m_is_read; }
 
     /// Stores the versions that are not stored yet and that this entry is responsible for, one after another.
@@ -52,7 +53,7 @@
     void apply_page(VersionRecords::Page const&);
     bool is_responsible_for(Version const&, Core::Duration known_for) const;
     void write(Version const&, Configuration::NamedVersion const&);
-    void on_written(Version const&, std::vector<Schema::ModelVersion> const& forgotten, bool is_done);
+    void on_written(Version const&, std::vector<Schema::ModelVersion> const& removed, bool is_done);
     std::vector<Schema::ModelVersion> surplus_versions(std::string const& model) const;
 
     Core::EventLoop& m_loop;
--- a/Libraries/LibPlatform/VersionRecords.h
+++ b/Libraries/LibPlatform/VersionRecords.h
@@ -24,7 +24,7 @@
     virtual void read(ReadTimeouts, ReadCallback) = 0;
 
     /// Writes a record and removes the `removed` ones in one transaction. The callback gets false if that may not have been done.
-    virtual void write(Schema::KeptVersion const&, std::vector<Schema::ModelVersion> const& forgotten, std::function<void(bool)>) = 0;
+    virtual void write(Schema::KeptVersion const&, std::vector<Schema::ModelVersion> const& removed, std::function<void(bool)>) = 0;
 };
 
 }
--- a/Services/DirectEntry/DirectEntry.cpp
+++ b/Services/DirectEntry/DirectEntry.cpp
@@ -114,7 +114,7 @@
         .returning = m_returning,
         .service_queue = [this](std::string const& service) -> Routing::ServiceQueue& { return m_service_queues.try_emplace(service, queue_limit).first->second; },
         .request_admitted = [this](std::string const& service) { m_sharing.count_request(service); },
-        .server_list_doubted = [this] { m_facts.on_server_list_mismatch(); },
+        .server_list_mismatch = [this] { m_facts.on_server_list_mismatch(); },
         .request_over = [this](uint64_t number) { m_loop.soon([this, number] { m_requests.erase(number); }); } }
 {
     Transport::LinkOptions options;
--- a/Services/DirectEntry/EntryFacts.cpp
+++ b/Services/DirectEntry/EntryFacts.cpp
@@ -139,14 +139,14 @@
     std::vector<Platform::Peer> peers;
     for (auto const& entry : m_callbacks.entries())
         peers.push_back({ entry, m_callbacks.distance(entry) });
-    for (auto const& entry : m_asked_peers.on_read_failed(topic, peers))
+    for (auto const& entry : m_peer_selector.on_read_failed(topic, peers))
         m_callbacks.send(entry, message);
 }
 
 void EntryFacts::on_read_recovered(Configuration::FactTopic topic, Core::Duration lost_for)
 {
     m_failing.erase(topic);
-    m_asked_peers.on_read_recovered(topic);
+    m_peer_selector.on_read_recovered(topic);
     // The naming times of the versions read just now are estimates; entries that kept reading the log know better ones.
     if (topic == Configuration::FactTopic::Configuration)
         m_version_requests = 0;
@@ -167,7 +167,7 @@
 
 void EntryFacts::on_entry_linked(std::string const& entry)
 {
-    if (m_asked_peers.should_request_from_linked(m_callbacks.distance(entry)))
+    if (m_peer_selector.should_request_from_linked(m_callbacks.distance(entry)))
         m_callbacks.send(entry, request());
     request_versions(entry);
 }
--- a/Services/DirectEntry/EntryFacts.h
+++ b/Services/DirectEntry/EntryFacts.h
@@ -5,7 +5,7 @@
 #include <LibCore/EventLoop.h>
 #include <LibCore/Metrics.h>
 #include <LibCore/PauseWatch.h>
-#include <LibPlatform/AskedPeers.h>
+#include <LibPlatform/FactPeerSelector.h>
 #include <LibPlatform/BadRecords.h>
 #include <LibPlatform/FactFollower.h>
 #include <LibPlatform/FactLog.h>
@@ -121,7 +121,7 @@
     std::optional<Core::Time> m_behind_since;
     // When an entry that had read further was last asked.
     Core::Time m_last_request_at { 0 };
-    Platform::FactPeerSelector m_asked_peers;
+    Platform::FactPeerSelector m_peer_selector;
 };
 
 }
--- a/Services/DirectEntry/ProxiedRequest.cpp
+++ b/Services/DirectEntry/ProxiedRequest.cpp
@@ -647,7 +647,7 @@
     end_call();
     report_server_outcome(server_outcome, now);
     if (server_outcome == ServerOutcome::Misdirected && m_context.servers.is_repeatedly_misdirected(m_attempt->target().id))
-        m_context.server_list_doubted();
+        m_context.server_list_mismatch();
     // A server that was only full may have a free slot when the request is sent again.
     if (server_outcome != ServerOutcome::Full)
         m_tried_servers[m_attempt->target().id] = m_attempt->target().started_at_ms;
--- a/Services/DirectEntry/RequestContext.h
+++ b/Services/DirectEntry/RequestContext.h
@@ -53,7 +53,7 @@
     /// Called once for each admitted request for the service.
     std::function<void(std::string const& service)> request_admitted;
     /// Called when a backend server differs repeatedly from its entry in the list.
-    std::function<void()> server_list_doubted;
+    std::function<void()> server_list_mismatch;
     /// Called once when the request with this number is over.
     std::function<void(uint64_t number)> request_over;
 };
--- a/Tests/LibMembership/TestInstanceList.cpp
+++ b/Tests/LibMembership/TestInstanceList.cpp
@@ -49,7 +49,7 @@
             links_of_agent[agent] += 1;
     }
     RC_ASSERT(links_of_agent.size() == agents);
-    size_t const per_agent = std::min(entries, std::max<size_t>(least_entries_per_agent, (entries * 16 + agents - 1) / agents));
+    size_t const per_agent = std::min(entries, std::max<size_t>(min_entries_per_agent, (entries * 16 + agents - 1) / agents));
     for (auto const& [agent, count] : links_of_agent)
         RC_ASSERT(count == per_agent);
     RC_ASSERT(total == agents * per_agent);
--- a/Tests/LibPlatform/TestStoredVersions.cpp
+++ b/Tests/LibPlatform/TestStoredVersions.cpp
@@ -41,13 +41,13 @@
         callback(page);
     }
 
-    void write(Schema::KeptVersion const& version, std::vector<Schema::ModelVersion> const& forgotten, std::function<void(bool)> callback) override
+    void write(Schema::KeptVersion const& version, std::vector<Schema::ModelVersion> const& removed, std::function<void(bool)> callback) override
     {
         m_shared.writes += 1;
         bool const is_taken = !m_shared.is_away && !m_shared.refused.contains(m_identity);
         if (is_taken) {
             m_shared.records[{ version.model, version.version }] = version;
-            for (auto const& each : forgotten)
+            for (auto const& each : removed)
                 m_shared.records.erase({ each.model, each.version });
         }
         callback(is_taken);
@@ -201,7 +201,8 @@
     }
     Process second(loop, shared, "b", {});
     second.learn(2);
-    // 3 s after the start, the time for which a version whose naming time is unknown is excused (2.5 s) is over, but the deadline (6.5 s) is not.
+    // 3 s after the start, the time for which a version whose naming time is unknown is excused (2.5 s) is over, but the deadline (6.5 s)
+    // is not.
     auto const soon = Core::monotonic_now() + Core::Duration(3000);
     EXPECT_EQ(second.facts.versions().at("m").newest_of(soon - Core::Duration(6500), soon - Core::Duration(2500)), 0);
 }
