--- a/Services/DirectEntry/EntryFacts.h
+++ b/Services/DirectEntry/EntryFacts.h
@@ -5,10 +5,10 @@
 #include <LibCore/EventLoop.h>
 #include <LibCore/Metrics.h>
 #include <LibCore/PauseWatch.h>
-#include <LibPlatform/FactPeerSelector.h>
 #include <LibPlatform/BadRecords.h>
 #include <LibPlatform/FactFollower.h>
 #include <LibPlatform/FactLog.h>
+#include <LibPlatform/FactPeerSelector.h>
 #include <LibPlatform/StoredVersions.h>
 #include <functional>
 #include <memory>
