--- a/Libraries/LibRouting/AnswerAssembly.h
+++ b/Libraries/LibRouting/AnswerAssembly.h
@@ -17,8 +17,8 @@
         Accepted,
         /// A part of this sequence number was received before; this one is dropped.
         Duplicate,
-        /// The part lies beyond the last part or beyond the window, or marks another part as last although that contradicts the parts
-        /// received before. The answer cannot be trusted.
+        /// The part lies beyond the last part or too far ahead (see max_parts_ahead), or marks another part as last although that
+        /// contradicts the parts received before. The answer cannot be trusted.
         Invalid,
     };
 
@@ -31,7 +31,8 @@
     int64_t next_sequence() const { return m_next; }
     bool is_whole() const { return m_last && m_next > *m_last; }
 
-    /// How far beyond next_sequence() a part's sequence number may lie: bounds the parts that are held because earlier ones are missing.
+    /// A part whose sequence number is next_sequence() + max_parts_ahead or higher is Invalid: limits the parts that are held because
+    /// earlier ones are missing.
     static constexpr int64_t max_parts_ahead = 4096;
 
 private:
--- a/Libraries/LibRouting/AnswerDeadlines.h
+++ b/Libraries/LibRouting/AnswerDeadlines.h
@@ -5,7 +5,8 @@
 
 namespace Routing {
 
-/// Whether an answer reaches its caller within the objective for the time to its first byte, and before the caller stops waiting.
+/// Whether an answer begins within the route's objective for the time to the answer or to a stream's first event, and ends before the
+/// caller stops waiting.
 enum class Timeliness {
     /// The answer begins within the objective, which is counted from the caller's first request.
     InTime,
--- a/Libraries/LibRouting/CrashSuspects.cpp
+++ b/Libraries/LibRouting/CrashSuspects.cpp
@@ -98,7 +98,7 @@
 }
 
 /// Blames the request if its record requires it.
-/// @return true if it is blamed now and never was since it was last cleared.
+/// @return true if it is blamed now and was not before, since it was last cleared or released.
 bool CrashSuspects::evaluate(std::string const& digest, Core::Time now)
 {
     auto const found = m_suspects.find(digest);
--- a/Libraries/LibRouting/CrashSuspects.h
+++ b/Libraries/LibRouting/CrashSuspects.h
@@ -62,7 +62,7 @@
     Schema::CrashSuspect const* find(std::string const& digest) const;
 
     /// Records that an incarnation of a server terminated while it ran the given requests.
-    /// @return the digests of requests that are now blamed for the first time since they were last cleared.
+    /// @return the digests of requests that are now blamed for the first time since they were last cleared or released.
     std::vector<std::string> on_server_terminated(std::string const& incarnation, std::vector<Run> const&, Core::Time now);
     /// Merges a suspect that another entry announced, or that an earlier incarnation of this one stored. @return as on_server_terminated().
     std::vector<std::string> merge(Schema::CrashSuspect const&, Core::Time now);
--- a/Libraries/LibRouting/EngineOwners.h
+++ b/Libraries/LibRouting/EngineOwners.h
@@ -26,9 +26,9 @@
 enum class EngineRole {
     /// Uses the engine at no penalty and fills all of its slots.
     Owner,
-    /// Uses only spare slots of the engine, and prefers them to those of engines for which its role is Other.
+    /// Uses only the slots beside the owner's reserve, and prefers them to those of engines for which its role is Other.
     Helper,
-    /// Uses only spare slots of the engine, and only if owned and helped engines are much slower.
+    /// Uses only the slots beside the owner's reserve, and only if owned and helped engines are much slower.
     Other,
 };
 
@@ -39,8 +39,9 @@
 /// if there are no entries. Each entry owns a share of the engines about proportional to its demand, preferably in its own failure
 /// domain. The result depends on the arguments only, not on their order, so entries with the same input agree without coordination.
 ///
-/// The owner fills its engine; the other entries use it only while its agent reports spare slots. Without owners, several entries
-/// would take the same free slot at once, and the engine would build up a queue that no entry sees in time.
+/// The owner fills its engine; the other entries use it only while its agent reports free slots beside the owner's reserve, or for one
+/// request each while the agent's reports are missing. Without owners, several entries would take the same free slot at once, and the
+/// engine would build up a queue that no entry sees in time.
 std::map<std::string, std::string> engine_owners(std::vector<SharingEntry> entries, std::vector<SharedEngine> engines);
 
 /// Returns the role of `entry`, given by its identity, for each engine by engine id. An engine for which it is neither owner nor
--- a/Libraries/LibRouting/IdempotencyTable.h
+++ b/Libraries/LibRouting/IdempotencyTable.h
@@ -18,7 +18,7 @@
     std::string body;
 };
 
-/// The idempotency keys whose home is this agent, each with the state of the request that ran with it and, where known, its answer.
+/// The idempotency keys that this agent owns, each with the state of the request that ran with it and, where known, its answer.
 /// No other request may run with a key that is in the table.
 class IdempotencyTable {
 public:
@@ -53,7 +53,7 @@
     void remove(std::string const& key);
     /// Stores the complete answer. If it is too large to store, the key becomes Unknown, which still prevents a second run.
     void record_answer(std::string const& key, StoredAnswer);
-    /// Marks a key as Unknown.
+    /// Marks a key as Unknown, because its request ran or may have run and there is no complete answer to store.
     void unknown(std::string const& key);
 
     /// Removes keys older than the lifetime, except those that are Running. A request with a removed key must be refused by the age
--- a/Libraries/LibRouting/InstanceTable.cpp
+++ b/Libraries/LibRouting/InstanceTable.cpp
@@ -179,7 +179,7 @@
     if (state.own_in_flight > 0)
         state.own_in_flight -= 1;
     state.own_in_flight_at_report = std::min(state.own_in_flight_at_report, state.own_in_flight);
-    // Other outcomes mean that a slot became free at the instance.
+    // With any outcome but Neutral the request held a slot, which is free now.
     if (outcome != InstanceOutcome::Neutral)
         state.is_refusing = false;
     if (outcome == InstanceOutcome::Success) {
--- a/Libraries/LibRouting/InstanceTable.h
+++ b/Libraries/LibRouting/InstanceTable.h
@@ -76,7 +76,8 @@
     /// A request that this entry sent to the instance ended.
     void on_finished(std::string const& id, InstanceOutcome, Core::Time now);
     /// The instance refused a request. With InstanceBusy or VersionNotReady it gets no requests until its next report or until one of
-    /// this entry's requests ends there; with Draining, until a report says that it doesn't drain. Other reasons are ignored.
+    /// this entry's requests ends there with Success or Failure; with Draining, until a report says that it doesn't drain. Other reasons
+    /// are ignored.
     void on_refused(std::string const& id, Schema::Reason);
 
     /// Whether the instance is linked, has reported and is neither leaving nor draining.
--- a/Libraries/LibRouting/RequestFlow.h
+++ b/Libraries/LibRouting/RequestFlow.h
@@ -106,7 +106,8 @@
     FlowActions on_accepted(std::string const& attempt);
     /// The agent refused the attempt: it has not run the request.
     FlowActions on_refused(std::string const& attempt, Schema::Reason, Core::Duration retry_after);
-    /// The attempt failed after the agent had accepted it: the request may have run.
+    /// The attempt failed after the agent had accepted it, or the agent did not accept it because a request with its key runs or may
+    /// have run before: the request may have run.
     FlowActions on_broken(std::string const& attempt, Schema::Reason);
     /// A part of an answer was received. Parts may be repeated and out of order.
     FlowActions on_part(Schema::Part);
@@ -120,7 +121,7 @@
     bool is_over() const { return m_phase == Phase::Over; }
     /// Whether the request has no current attempt and needs an instance.
     bool is_choosing() const { return m_phase == Phase::Choosing; }
-    /// Instances at which an attempt failed; the next instance should be another one.
+    /// Instances that failed or refused an attempt, or whose link did not accept it; the next instance should be another one.
     std::set<std::string> const& excluded() const { return m_excluded; }
     std::string const& attempt() const { return m_attempt; }
     std::string const& instance() const { return m_instance; }
--- a/Libraries/LibRouting/ServerTable.cpp
+++ b/Libraries/LibRouting/ServerTable.cpp
@@ -40,7 +40,8 @@
 static constexpr double other_role_penalty_ms = 160;
 // Penalty of a server that may terminate at any moment: half of the usual objective for the first event.
 static constexpr double avoided_penalty_ms = 250;
-// Penalty for each request that would be aborted if the server terminated, in relation to the cost of a slot in another region.
+// Added for each request in flight at a server if the new request may terminate it, as those would be aborted. It exceeds
+// other_region_penalty_ms, so that an idle server in another region is preferred.
 static constexpr double request_at_risk_penalty_ms = 50;
 
 static bool is_earlier_start(std::optional<int64_t> started_at_ms, std::optional<int64_t> known)
@@ -416,7 +417,8 @@
     auto const free = free_slots(server, now);
     if (role(server) == EngineRole::Owner)
         return free > m_settings.leftover_reserve + m_settings.owner_queue_limit;
-    // This entry doesn't know what the owner has sent there since the last report, so it requires half of the slots to be free.
+    // This entry doesn't know what the owner has sent there since the last report, so more than half of the slots must be free beside the
+    // owner's reserve.
     return free > server.record.slots / 2;
 }
 
--- a/Libraries/LibRouting/ServerTable.h
+++ b/Libraries/LibRouting/ServerTable.h
@@ -28,8 +28,8 @@
     std::set<std::string> excluded {};
     /// Ids of servers that can't be chosen at the moment, and are treated as full.
     std::set<std::string> temporarily_unavailable {};
-    /// Ids of servers that may terminate soon. Their predicted time to the first event counts as 250 ms longer, so that others are
-    /// preferred.
+    /// Ids of servers that may terminate soon. If servers are chosen by predicted time, 250 ms are added to the cost of these, so that
+    /// they are chosen only if others are far worse; the predicted time, which max_time_to_first_event limits, is unchanged.
     std::set<std::string> avoided {};
     /// Prefers servers with few requests in flight, as this request may terminate its server.
     bool prefers_idle_servers { false };
@@ -64,7 +64,7 @@
     Success,
     /// The connection could not be established, or the server stopped sending.
     Unreachable,
-    /// The server answered with an error, or its answer was malformed.
+    /// The server answered with an error, or its answer was cut off or malformed.
     Failure,
     /// The server had no free slot.
     Full,
@@ -131,7 +131,9 @@
     bool may_use(std::string const& id) const;
 
     /// Stores the state that the agent at an IP address read from its engine. A report of an earlier incarnation than the last report's
-    /// is ignored, unless the last report is more than 2.5 seconds old.
+    /// is ignored, unless the last report is more than 2.5 seconds old. A report of an earlier incarnation than the latest one known, from
+    /// the list or a report, is not used for the server if it arrives within 2.5 seconds after that one became known; later it is, as
+    /// the instance's clock was then set back.
     void on_engine_state(std::string const& ip, Schema::EngineState const&, Core::Time now);
     /// Drops the agent's last report, after its link has closed.
     void on_agent_disconnected(std::string const& ip);
@@ -159,8 +161,8 @@
     /// other requests.
     bool is_answering(std::string const& id, Core::Time now) const;
 
-    /// Start of the latest incarnation of the server that was listed or reported, in milliseconds as the list and the agents give it;
-    /// std::nullopt if unknown.
+    /// Start of the latest incarnation of the server that was listed or reported, in milliseconds of the Unix clock; std::nullopt if
+    /// unknown.
     std::optional<int64_t> started_at_ms(std::string const& id) const;
 
     /// Returns the server's list record, or null if the server is unknown.
