--- a/Libraries/LibRouting/Admission.cpp
+++ b/Libraries/LibRouting/Admission.cpp
@@ -31,7 +31,7 @@
     return !dispatch.version || view.serving->version == *dispatch.version;
 }
 
-AdmissionResult admit(Schema::Dispatch const& dispatch, AdmissionView const& view, Membership::IdempotencyKeyOwner const& home, IdempotencyTable& table)
+AdmissionResult admit(Schema::Dispatch const& dispatch, AdmissionView const& view, Membership::IdempotencyKeyOwner const& key_owner, IdempotencyTable& table)
 {
     if (dispatch.key) {
         // A request that ran before is answered even by an agent that is draining.
@@ -48,7 +48,7 @@
         return RefuseNotRun { Schema::Reason::InstanceBusy };
     if (!dispatch.key)
         return Admit {};
-    if (auto reason = home.refusal(*dispatch.key, view.now, view.wall_now)) {
+    if (auto reason = key_owner.refusal(*dispatch.key, view.now, view.wall_now)) {
         bool const may_have_run = *reason == Schema::Reason::KeyBeforeHome || *reason == Schema::Reason::KeyTooOld;
         if (may_have_run)
             return RefuseMayHaveRun { *reason };
--- a/Libraries/LibRouting/ServerTable.cpp
+++ b/Libraries/LibRouting/ServerTable.cpp
@@ -289,8 +289,8 @@
     auto const role = this->role(server);
     if (!m_settings.shares_reported_slots || !report || role == EngineRole::Owner)
         return false;
-    auto const spare = server.record.slots - m_settings.owner_reserve - report->state.running - report->state.waiting;
-    auto const part = spare / sharing_entry_count(role);
+    auto const beside_reserve = server.record.slots - m_settings.owner_reserve - report->state.running - report->state.waiting;
+    auto const part = beside_reserve / sharing_entry_count(role);
     return report->own_sent >= std::max<int64_t>(role == EngineRole::Helper ? 1 : 0, part);
 }
 
--- a/Services/DirectEntry/DirectEntry.cpp
+++ b/Services/DirectEntry/DirectEntry.cpp
@@ -61,13 +61,13 @@
     return result;
 }
 
-static Routing::RetryLimit retry_bound(Schema::DirectEntrySettings const& settings)
+static Routing::RetryLimit retry_limit(Schema::DirectEntrySettings const& settings)
 {
-    Routing::RetryLimit bound;
-    bound.ratio = settings.bounds.retry_ratio;
-    bound.window = Core::Duration(static_cast<int64_t>(settings.bounds.retry_window_s * milliseconds_per_second));
-    bound.slack = settings.bounds.retry_slack;
-    return bound;
+    Routing::RetryLimit limit;
+    limit.ratio = settings.bounds.retry_ratio;
+    limit.window = Core::Duration(static_cast<int64_t>(settings.bounds.retry_window_s * milliseconds_per_second));
+    limit.slack = settings.bounds.retry_slack;
+    return limit;
 }
 
 Core::ErrorOr<std::unique_ptr<DirectEntry>> DirectEntry::create(Core::EventLoop& loop, Schema::DirectEntrySettings const& settings, PlatformParts parts)
@@ -92,7 +92,7 @@
     , m_followed({ settings.identity, settings.failure_domain, 0 }, settings.regions)
     , m_started_at(Core::monotonic_now())
     , m_servers(table_settings(settings), m_random())
-    , m_retries(retry_bound(settings), Core::monotonic_now())
+    , m_retries(retry_limit(settings), Core::monotonic_now())
     , m_capabilities(loop, settings.metrics_port, [this](std::string const& entry) { m_crashes.on_entry_linked(entry); })
     , m_crashes(loop, settings.identity, std::move(parts.blames), m_metrics, crash_callbacks())
     , m_returning({ .entries = [this] { return m_hub->peers(Schema::Role::Entry); }, .send = sender_to_capable_entries() })
--- a/Services/DirectEntry/ProxiedRequest.cpp
+++ b/Services/DirectEntry/ProxiedRequest.cpp
@@ -189,17 +189,17 @@
         refuse_waiting(now);
 }
 
-Routing::ServerRequirements ProxiedRequest::needs()
+Routing::ServerRequirements ProxiedRequest::requirements()
 {
-    Routing::ServerRequirements needs;
-    needs.service = m_service;
-    needs.required_version = m_context.required_version(m_service);
-    needs.newest_version = m_context.newest_version(m_service);
-    needs.prompt_tokens = m_head.prompt_tokens;
-    needs.excluded = tried_servers();
-    needs.max_event_gap = Core::Duration(m_route.objective_gap_ms);
-    m_suspicion.add_to(needs);
-    return needs;
+    Routing::ServerRequirements requirements;
+    requirements.service = m_service;
+    requirements.required_version = m_context.required_version(m_service);
+    requirements.newest_version = m_context.newest_version(m_service);
+    requirements.prompt_tokens = m_head.prompt_tokens;
+    requirements.excluded = tried_servers();
+    requirements.max_event_gap = Core::Duration(m_route.objective_gap_ms);
+    m_suspicion.add_to(requirements);
+    return requirements;
 }
 
 /// Servers that were tried, except those that restarted since: a new incarnation may be tried as far as the request may be repeated.
@@ -233,10 +233,10 @@
 
 bool ProxiedRequest::try_send_in_time(Core::Time now)
 {
-    auto needs = this->needs();
+    auto requirements = this->requirements();
     if (!m_has_delivered)
-        needs.max_time_to_first_event = m_terms.in_time_until - now;
-    auto const choice = m_context.servers.choose(needs, now);
+        requirements.max_time_to_first_event = m_terms.in_time_until - now;
+    auto const choice = m_context.servers.choose(requirements, now);
     if (choice.has_value()) {
         send_to(*choice, now);
         return true;
@@ -250,9 +250,9 @@
 
 bool ProxiedRequest::try_send_late(Core::Time now)
 {
-    auto needs = this->needs();
-    needs.uses_only_spare_slots = m_context.waiting_policy.orders_by_timeliness;
-    auto const choice = m_context.servers.choose(needs, now);
+    auto requirements = this->requirements();
+    requirements.uses_only_spare_slots = m_context.waiting_policy.orders_by_timeliness;
+    auto const choice = m_context.servers.choose(requirements, now);
     if (!choice.has_value()) {
         m_no_server = choice.error();
         return false;
--- a/Services/DirectEntry/ProxiedRequest.h
+++ b/Services/DirectEntry/ProxiedRequest.h
@@ -74,7 +74,7 @@
     void refuse_waiting(Core::Time now);
     /// Whether the attempt is to be repeated because the server holds too old a version and has not begun to answer.
     bool is_outdated(BackendAttempt const&, Core::Time now) const;
-    Routing::ServerRequirements needs();
+    Routing::ServerRequirements requirements();
     std::set<std::string> tried_servers() const;
     void send_to(Routing::ServerChoice const&, Core::Time now);
     void start_call(Platform::BackendRequestFields const&);
--- a/Services/DirectEntry/RequestSuspicion.cpp
+++ b/Services/DirectEntry/RequestSuspicion.cpp
@@ -31,7 +31,7 @@
     return !has_suspects() || m_crashes.suspects().can_send(digest(), Core::monotonic_now());
 }
 
-void RequestSuspicion::add_to(Routing::ServerRequirements& needs)
+void RequestSuspicion::add_to(Routing::ServerRequirements& requirements)
 {
     if (!has_suspects())
         return;
@@ -39,8 +39,8 @@
     auto const standing = this->standing();
     auto const among = standing == CrashStanding::RunsAlone ? RunFilter::AllRuns : RunFilter::AloneRuns;
     auto servers = m_crashes.suspects().servers_with_suspects(among, Core::monotonic_now());
-    (standing == CrashStanding::Clear ? needs.avoided : needs.temporarily_unavailable) = std::move(servers);
-    needs.prefers_idle_servers = standing == CrashStanding::RunsAlone;
+    (standing == CrashStanding::Clear ? requirements.avoided : requirements.temporarily_unavailable) = std::move(servers);
+    requirements.prefers_idle_servers = standing == CrashStanding::RunsAlone;
 }
 
 void RequestSuspicion::on_sent(std::string const& server)
--- a/Tests/LibRouting/TestAdmission.cpp
+++ b/Tests/LibRouting/TestAdmission.cpp
@@ -10,7 +10,7 @@
 class AdmissionTest : public testing::Test {
 protected:
     static constexpr Core::WallTime epoch { 1700000000000 };
-    Membership::IdempotencyKeyOwner home { "a", "s", {}, epoch };
+    Membership::IdempotencyKeyOwner key_owner { "a", "s", {}, epoch };
     IdempotencyTable table { 1 << 20, Core::Duration(600000) };
     AdmissionView view;
     std::mt19937_64 random { 1 };
@@ -28,8 +28,8 @@
         members.instances[0].state = Schema::InstanceState::Live;
         Membership::InstanceList list;
         list.update(members);
-        home.on_list(list, epoch);
-        home.on_pong(Core::Time(1000), 1, true);
+        key_owner.on_list(list, epoch);
+        key_owner.on_pong(Core::Time(1000), 1, true);
         view.now = Core::Time(1000);
         view.wall_now = epoch + Core::Duration(100000);
         view.capacity = 2;
@@ -39,7 +39,7 @@
         dispatch.key = key;
     }
 
-    AdmissionResult decide() { return admit(dispatch, view, home, table); }
+    AdmissionResult decide() { return admit(dispatch, view, key_owner, table); }
 
     static Schema::Reason refusal(AdmissionResult const& result) { return std::get<RefuseNotRun>(result).reason; }
 };
@@ -82,9 +82,9 @@
 TEST_F(AdmissionTest, AFullTableRefusesInsteadOfEvicting)
 {
     IdempotencyTable tiny(IdempotencyTable::bytes_per_key, Core::Duration(600000));
-    EXPECT_TRUE(std::holds_alternative<Admit>(admit(dispatch, view, home, tiny)));
+    EXPECT_TRUE(std::holds_alternative<Admit>(admit(dispatch, view, key_owner, tiny)));
     dispatch.key = Membership::make_uuid_v7(view.wall_now, random);
-    EXPECT_EQ(refusal(admit(dispatch, view, home, tiny)), Schema::Reason::RecordFull);
+    EXPECT_EQ(refusal(admit(dispatch, view, key_owner, tiny)), Schema::Reason::RecordFull);
     EXPECT_NE(tiny.find(key), nullptr);
 }
 
