--- a/Libraries/LibRouting/SlotWait.h
+++ b/Libraries/LibRouting/SlotWait.h
@@ -86,7 +86,8 @@
     /// @param reason why ServerTable::choose() found no backend server.
     bool should_refuse(WaitingRequest const&, NoServer reason, Core::Time now) const;
     /// Time after which a refused caller should retry: the expected time until all waiting requests and one more have got a slot,
-    /// multiplied by a random factor from 1 to 2 so that callers refused together don't return together, and clamped to 200 to 1500 milliseconds.
+    /// multiplied by a random factor from 1 to 2 so that callers refused together don't return together, and clamped to 200 to
+    /// 1500 milliseconds.
     Core::Duration retry_after(std::string const& service, Core::Time now, std::mt19937_64& random) const;
 
     /// Logs the figures on which the refusal of the request is based.
