--- a/Libraries/LibDistribution/EngineControl.h
+++ b/Libraries/LibDistribution/EngineControl.h
@@ -55,7 +55,8 @@
     /// Number of orders that were refused or had no answer.
     uint64_t failed_orders() const { return m_failed_orders; }
     bool has_status() const { return m_status.has_value(); }
-    /// The last accepted status, or nullptr if there is none since the last order or the last failed status request.
+    /// The last accepted status, or nullptr if there is none since the last order was answered or the last status request
+    /// failed.
     Schema::EngineStatus const* status() const { return m_status ? &*m_status : nullptr; }
 
 private:
@@ -75,8 +76,8 @@
 
 /// Returns whether an instance may stop serving to switch to the rollout's new version.
 /// `ranked` lists the rollout's instances in the order in which they switch, `ready` those that serve the new version.
-/// Fewer than `slack` of the instances ranked before `self` may still be without the new version. Thus at most `slack` instances are out of
-/// service at once, and all others serve either the old version or the new one.
+/// Fewer than `max_switching` of the instances ranked before `self` may still be without the new version. Thus at most `max_switching`
+/// instances are out of service at once, and all others serve either the old version or the new one.
 /// An instance that is not in `ranked` may switch only when all in `ranked` are ready.
 bool may_switch(std::string const& self, std::vector<std::string> const& ranked, std::vector<std::string> const& ready, size_t max_switching);
 
--- a/Libraries/LibDistribution/ReadRanks.h
+++ b/Libraries/LibDistribution/ReadRanks.h
@@ -32,7 +32,7 @@
     size_t origin_rank(size_t chunk) const { return m_origin_ranks[chunk]; }
     /// Whether this instance and the peer are both caches in the same backup group, so that they replace the same readers of the origin.
     bool is_in_same_backup_group(std::string const& peer) const;
-    /// This instance's lowest rank for any chunk; 0 for a seeder.
+    /// The position at which this instance's group begins, which none of its ranks is below; 0 for a seeder.
     size_t best_origin_rank() const { return m_best_origin_rank; }
 
     /// This instance's rank, among those of its region, for reading a chunk from another region. Rank 0 reads it without waiting.
--- a/Libraries/LibDistribution/Transfer.h
+++ b/Libraries/LibDistribution/Transfer.h
@@ -105,7 +105,8 @@
     void on_progress(uint64_t fetch, Core::Time now);
     /// Records that a read completed and its bytes matched the chunk's digest.
     void on_fetched(uint64_t fetch, Core::Time now);
-    /// Records that a read failed, and starts the backoff from its source. A peer without the chunk (Missing) only loses it as a holder.
+    /// Records that a read failed, and starts the backoff from its source. After Missing, a peer only stops counting as a holder of the
+    /// chunk, without a backoff.
     void on_failed(uint64_t fetch, FetchFailure, Core::Time now);
 
     /// Cancels the reads that have stalled or whose chunk is already held. Returns these cancellations and the reads to start now.
--- a/Libraries/LibDistribution/TransferProgress.h
+++ b/Libraries/LibDistribution/TransferProgress.h
@@ -18,7 +18,7 @@
     bool is_newer_held_by_peers { false };
     /// Time since the version was named.
     Core::Duration time_since_named { 0 };
-    /// Deadline for serving the version, as a time since it was named.
+    /// Time within which the version must be served after it was named.
     Core::Duration deadline { 0 };
 };
 
--- a/Services/DirectEntry/BackendAttempt.h
+++ b/Services/DirectEntry/BackendAttempt.h
@@ -50,7 +50,8 @@
     /// Whether nothing was received from the server for `silence_limit`. To be called at most once in each iteration of the event loop:
     /// silence counts from the second call in a row on, as bytes that lay unread at the first have been read by then.
     bool check_silence(Core::Time running_now, Core::Duration silence_limit) { return m_silence.check_timeout(running_now, silence_limit); }
-    /// Running time since bytes were last received.
+    /// Running time since bytes were last received, the call was sent or connected, or the request returned to this silent attempt,
+    /// whichever is latest.
     Core::Duration silent_for(Core::Time running_now) const { return m_silence.elapsed(running_now); }
 
     bool is_connected() const { return m_is_connected; }
--- a/Services/DirectEntry/EntryWeights.h
+++ b/Services/DirectEntry/EntryWeights.h
@@ -49,7 +49,8 @@
 private:
     WeightsCache::Callbacks callbacks();
     bool is_in_region(std::string const& failure_domain) const;
-    /// Whether an engine that this entry follows serves an older version. Other engines are followed by entries nearer to them.
+    /// Whether an engine that this entry follows does not serve the version or a newer one. Other engines are followed by entries nearer
+    /// to them.
     bool is_wanted(std::string const& service, int64_t version) const;
     /// The engines of a service that this entry follows and that are not draining.
     std::vector<Schema::BackendServer const*> followed_servers(std::string const& service) const;
--- a/Services/DirectEntry/VersionGoals.cpp
+++ b/Services/DirectEntry/VersionGoals.cpp
@@ -109,7 +109,7 @@
     auto const* versions = named_versions(service);
     if (!versions)
         return {};
-    // Until the stored versions have been read, the time limit of a version that was found may have passed long ago.
+    // Until the stored versions have been read, a version that was found gets no grace time, as its time limit may have passed long ago.
     auto const found_by = m_has_read_stored_versions() ? now - found_grace : now;
     auto const required = versions->newest_of(now - (version_time_limit - version_start_margin), found_by);
     if (required == 0)
--- a/Services/DirectEntry/VersionGoals.h
+++ b/Services/DirectEntry/VersionGoals.h
@@ -16,8 +16,8 @@
 /// Derives from the configuration and the named versions which version of its model's weights each service's engines are to hold, and
 /// which version requests require by now.
 ///
-/// A version is named by a record of the operator in the platform's log. Engines may serve the previous version until the time limit
-/// of the settings (`version_time_limit`) after that has passed; requests require the new version from 1.5 s before this limit on.
+/// A version is named by a record of the operator in the platform's log. For `version_time_limit` after that, engines may serve the
+/// previous version; requests require the new one from 1.5 s before the end of this time.
 class VersionGoals {
 public:
     /// @param facts must outlive this object.
@@ -45,7 +45,7 @@
     /// The version that an engine of the service must serve by now; std::nullopt while any version will do.
     ///
     /// A version that is not known to have been named before the time limit, but may have been, is required no sooner than 2.5 s after
-    /// it was found here, once the stored versions have been read.
+    /// it was found here. Until the stored versions have been read it is required at once, as its limit may have passed long ago.
     std::optional<int64_t> required(std::string const& service, Core::Duration version_time_limit, Core::Time now) const;
 
     /// Logs each change of a service's required version, with the time since that version was named and found.
--- a/Services/DirectEntry/WeightsCache.h
+++ b/Services/DirectEntry/WeightsCache.h
@@ -37,7 +37,7 @@
         std::function<void(Schema::PieceMap const&)> announce;
         /// Sends which chunks are held here to the entries of other regions.
         std::function<void(Schema::PieceMap const&)> announce_to_other_regions;
-        /// Whether some engine of a service serves an older version than this one.
+        /// Whether some engine of a service does not serve this version or a newer one yet; an engine that serves none counts.
         std::function<bool(std::string const& service, int64_t version)> is_wanted;
         /// Returns all linked entries, and those of this region, each with this one included.
         std::function<Weights::CopySources()> sources;
@@ -70,7 +70,7 @@
 
     void advance_transfers();
     Copy& copy_of(std::string const& model);
-    /// Whether some engine of the copy's service serves an older version than this one.
+    /// Whether some engine of the copy's service does not serve this version or a newer one yet; an engine that serves none counts.
     bool is_wanted(Copy const&, int64_t version) const;
     bool serve_chunk(std::shared_ptr<Transport::HttpExchange> const&, std::string const& digest);
 
--- a/Services/EngineAgent/EngineAgent.h
+++ b/Services/EngineAgent/EngineAgent.h
@@ -30,7 +30,7 @@
 
     /// Stops the event loop at once, as no requests pass through the agent.
     void drain();
-    /// Applies the changed bounds of the settings. Settings that failed to load are logged and ignored.
+    /// Stores the bounds of settings that were read again; nothing uses them yet. Settings that failed to load are logged and ignored.
     void reload(Core::ErrorOr<Schema::EngineAgentSettings> const&);
 
 private:
@@ -53,7 +53,8 @@
     void send_directory(std::string const& newcomer);
     /// Sends the engine's state to all linked entries.
     void send_state();
-    /// Sends the state only to the entries that send requests to the engine. The others get the next repetition of the full state.
+    /// Sends the state only to the entries that send requests to the engine. The others get it with the next
+    /// repetition by send_state(), about one second after the last one.
     void send_load(Schema::EngineState const&);
     void send_state_if_changed();
     /// Dials one more seed while no entry has sent a goal.
--- a/Services/EngineAgent/WeightsLoader.cpp
+++ b/Services/EngineAgent/WeightsLoader.cpp
@@ -237,7 +237,7 @@
     m_fetcher.begin();
 }
 
-// Chunks that an earlier process of this agent staged beside the engine.
+// Chunks that an earlier process of this agent wrote to the engine's staging area.
 
 void WeightsLoader::adopt_staged()
 {
@@ -258,7 +258,7 @@
     }
 }
 
-// Staging chunks beside the engine, and ordering it to load them.
+// Writing chunks to the engine's staging area, and ordering the engine to load them.
 
 void WeightsLoader::run_load(Core::Time now)
 {
@@ -267,7 +267,7 @@
         return;
     if (m_older && is_older_load_over(now))
         m_older.reset();
-    // Only one version can be staged beside the engine: the newer one waits here until the older one is loaded.
+    // The engine's staging area holds only one version at a time: the newer one waits here until the older one is loaded.
     if (m_older) {
         for (auto const& action : m_older->load->step(now, { may_switch(m_older->goal, m_older->goal_at, now), m_older->goal.may_evict }))
             perform(action, m_older->goal.version);
--- a/Services/EngineAgent/WeightsLoader.h
+++ b/Services/EngineAgent/WeightsLoader.h
@@ -27,8 +27,8 @@
     Weights::CopyFetcherSettings fetcher;
 };
 
-/// Brings the engine to the goal, which is the version of the weights that an entry last requested: fetches its chunks into this
-/// process, stages them beside the engine, and orders the engine to load them.
+/// Brings the engine to the goal, the newest version of the weights that entries have sent as a goal and that need not wait: fetches its
+/// chunks into this process, writes them to the engine's staging area, and orders the engine to load them.
 ///
 /// While a newer goal is fetched, a complete older version may still be loaded, because each version has its own deadline.
 class WeightsLoader {
@@ -45,8 +45,8 @@
     WeightsLoader(Core::EventLoop&, WeightsLoaderSettings, Core::Metrics&, Platform::EngineApi&, Platform::WeightOrigin&, Callbacks);
     ~WeightsLoader();
 
-    /// Sets the version that the engine shall load. A version older than the current goal is ignored; a newer one may have to wait until
-    /// the transfer of the current one ends.
+    /// Sets the version that the engine shall load. A version older than the current goal is ignored; a newer one waits while
+    /// the transfer of the current one should be finished first (Distribution::should_finish_first()).
     void set_goal(Schema::WeightsGoal const&);
 
     /// Handles the end of a pause of the process: discards the engine's report and requests a new one. No order is sent to the engine until
@@ -111,7 +111,7 @@
     void on_report(Core::ErrorOr<Platform::EngineReport> const&);
     void apply_report(Core::ErrorOr<Platform::EngineReport> const&);
     void log_restart(std::optional<int64_t> started_at_ms);
-    /// Reads back the chunks that an earlier process staged beside the engine, and keeps those that belong to the goal's version.
+    /// Reads back the chunks that an earlier process wrote to the engine's staging area, and keeps those that belong to the goal's version.
     void adopt_staged();
     void begin_transfer();
     /// Executes the steps of the load that are due: staging chunks, reading them back, and ordering the engine.
@@ -144,7 +144,7 @@
     // The version that each peer's engine serves, according to the peer.
     std::map<std::string, int64_t> m_peer_versions;
     std::optional<OlderLoad> m_older;
-    // Whether the chunks that an earlier process staged beside the engine have been read back, or are being read back.
+    // Whether the chunks that an earlier process wrote to the engine's staging area have been read back, or are being read back.
     bool m_has_adopted { false };
     // Number of such chunks whose reading has not ended.
     size_t m_adopting { 0 };
--- a/Services/Weights/ChunkServer.h
+++ b/Services/Weights/ChunkServer.h
@@ -32,10 +32,10 @@
 public:
     ChunkServer(Core::EventLoop&, ChunkServerSettings, Core::Metrics&, Distribution::ChunkStore const&);
 
-    /// Answers a request for the chunk with this digest: at once, after uploads before it, with 404 if the chunk is not held, or with 503
-    /// and Retry-After if the queue is full. Query parameters: `for=engine` for the local engine, which is not limited, `for=cache` for a
-    /// cache, and `held` for the number of chunks that the peer holds. If the queue is full, the waiting peer that is furthest along is
-    /// refused.
+    /// Answers a request for the chunk with this digest: at once, after uploads before it, or with 404 if the chunk is not held. If the
+    /// queue is full, the request in it with the lowest priority, this one or another, is answered with 503 and Retry-After: the request
+    /// of the peer that holds the most chunks, and that of a cache only if all are from caches. Query parameters: `for=engine` for the
+    /// local engine, which is not limited, `for=cache` for a cache, and `held` for the number of chunks that the peer holds.
     void serve(std::shared_ptr<Transport::HttpExchange> const&, std::string const& digest);
 
 private:
--- a/Services/Weights/CopyGoal.h
+++ b/Services/Weights/CopyGoal.h
@@ -9,8 +9,8 @@
 
 namespace Weights {
 
-/// The version that a CopyFetcher fetches, and the newest version that the operator named in the log records, which may have to wait until
-/// the transfer of the current one is complete.
+/// The version that a CopyFetcher fetches, and the newest version that the operator named in the log records, which may have to wait while
+/// the transfer of the current one should be finished first (Distribution::should_finish_first()).
 class CopyGoal {
 public:
     struct Callbacks {
@@ -25,7 +25,8 @@
     CopyGoal(CopyFetcher&, Callbacks);
 
     /// Applies a named version. A version without chunks and origin, and one older than the current one, is ignored. A newer one replaces
-    /// the current one, or waits until its transfer is complete. For the current version, the earlier of both times is kept.
+    /// the current one, or waits as long as the current one's transfer should be finished first. For the current version, the earlier of
+    /// both times is kept.
     /// @return whether the version has replaced the current one.
     bool on_version_named(Schema::WeightsGoal const&, Core::Time named_at);
     /// Switches to the waiting version, if there is one that need not wait any longer.
