--- a/Libraries/LibDistribution/StagedLoad.cpp
+++ b/Libraries/LibDistribution/StagedLoad.cpp
@@ -158,7 +158,7 @@
     });
 }
 
-std::optional<Platform::LoadMode> StagedLoad::load_manner(Core::Time now, SwitchPermissions const& permissions)
+std::optional<Platform::LoadMode> StagedLoad::load_mode(Core::Time now, SwitchPermissions const& permissions)
 {
     bool const serves_something = !m_report->held.empty();
     if (!serves_something)
@@ -192,13 +192,13 @@
             m_draining_since.reset();
         return actions;
     }
-    auto const allowed_manner = load_manner(now, permissions);
-    bool const is_due = allowed_manner.has_value() || m_draining_since.has_value();
-    if (allowed_manner && are_all_read_back(now)) {
+    auto const allowed_mode = load_mode(now, permissions);
+    bool const is_due = allowed_mode.has_value() || m_draining_since.has_value();
+    if (allowed_mode && are_all_read_back(now)) {
         m_is_ordering = true;
         m_order_sent_at = now;
         m_draining_since.reset();
-        actions.emplace_back(OrderLoad { m_report->order_sequence, *allowed_manner });
+        actions.emplace_back(OrderLoad { m_report->order_sequence, *allowed_mode });
         return actions;
     }
     has_more = is_due;
--- a/Libraries/LibDistribution/StagedLoad.h
+++ b/Libraries/LibDistribution/StagedLoad.h
@@ -26,7 +26,7 @@
     /// The engine accepts the order only while its sequence number of orders has this value. Empty if the engine reports no sequence
     /// number.
     std::optional<int64_t> expected_sequence;
-    Platform::LoadMode manner { Platform::LoadMode::WaitForRunning };
+    Platform::LoadMode mode { Platform::LoadMode::WaitForRunning };
 };
 
 using LoadAction = std::variant<StageChunk, ReadBackChunk, OrderLoad>;
@@ -119,7 +119,7 @@
     bool stage_next(std::vector<LoadAction>&);
     bool read_back_next(Core::Time now, std::vector<LoadAction>&);
     bool are_all_read_back(Core::Time now) const;
-    std::optional<Platform::LoadMode> load_manner(Core::Time now, SwitchPermissions const&);
+    std::optional<Platform::LoadMode> load_mode(Core::Time now, SwitchPermissions const&);
 
     int64_t m_version;
     StagedLoadSettings m_settings;
--- a/Libraries/LibDistribution/TransferProgress.h
+++ b/Libraries/LibDistribution/TransferProgress.h
@@ -19,7 +19,7 @@
     /// Time since the version was named.
     Core::Duration time_since_named { 0 };
     /// Time within which the version must be served after it was named.
-    Core::Duration deadline { 0 };
+    Core::Duration version_time_limit { 0 };
 };
 
 /// Returns whether a version's transfer should be completed before the transfer of a newer version begins.
@@ -32,11 +32,11 @@
 {
     if (!progress.has_begun || progress.is_complete)
         return false;
-    if (progress.time_since_named < progress.deadline / 2)
+    if (progress.time_since_named < progress.version_time_limit / 2)
         return true;
     // The missing quarter takes a small part of the time that the held chunks took.
     bool const is_nearly_complete = progress.chunk_count > 0 && progress.held_count * 4 >= progress.chunk_count * 3;
-    return is_nearly_complete && !progress.is_newer_held_by_peers && progress.time_since_named < progress.deadline * 3 / 4;
+    return is_nearly_complete && !progress.is_newer_held_by_peers && progress.time_since_named < progress.version_time_limit * 3 / 4;
 }
 
 }
--- a/Services/Agent/Agent.cpp
+++ b/Services/Agent/Agent.cpp
@@ -58,7 +58,7 @@
     result.has_engine = settings.backend_kind == Schema::BackendKindEnum::Engine;
     result.neighbours = static_cast<size_t>(settings.neighbours.value_or(default_neighbours));
     result.uploads.max_concurrent_uploads = static_cast<size_t>(settings.uploads_at_once.value_or(default_uploads));
-    result.uploads.waiting = static_cast<size_t>(settings.uploads_waiting.value_or(default_uploads_waiting));
+    result.uploads.max_waiting_uploads = static_cast<size_t>(settings.uploads_waiting.value_or(default_uploads_waiting));
     result.uploads.bytes_per_second = settings.upload_bytes_per_second.value_or(0);
     result.download_bytes_per_second = settings.download_bytes_per_second.value_or(0);
     result.transfer.strategy = settings.strategy.value_or(Schema::Strategy::Swarm);
--- a/Services/DirectEntry/EntryFacts.cpp
+++ b/Services/DirectEntry/EntryFacts.cpp
@@ -47,7 +47,7 @@
     , m_callbacks(std::move(callbacks))
     , m_pauses(loop)
     , m_follower(loop, m_pauses, *m_log, m_replica, settings, follower_callbacks())
-    , m_stored_versions(loop, std::move(sources.versions), identity, m_replica, metrics, kept_callbacks())
+    , m_stored_versions(loop, std::move(sources.versions), identity, m_replica, metrics, stored_versions_callbacks())
 {
 }
 
@@ -57,7 +57,7 @@
     m_stored_versions.start([this] { m_follower.start(); });
 }
 
-Platform::StoredVersions::Callbacks EntryFacts::kept_callbacks()
+Platform::StoredVersions::Callbacks EntryFacts::stored_versions_callbacks()
 {
     return {
         .read = [this](std::vector<Configuration::KnownVersion> const& known) { apply_known_versions(known); },
--- a/Services/DirectEntry/EntryFacts.h
+++ b/Services/DirectEntry/EntryFacts.h
@@ -90,7 +90,7 @@
 
 private:
     Platform::FactFollower::Callbacks follower_callbacks();
-    Platform::StoredVersions::Callbacks kept_callbacks();
+    Platform::StoredVersions::Callbacks stored_versions_callbacks();
     void on_changed(Configuration::FactChanges const&);
     /// Merges known versions into the replica, and reports and stores what changed.
     void apply_known_versions(std::vector<Configuration::KnownVersion> const&);
--- a/Services/DirectEntry/WeightsCache.cpp
+++ b/Services/DirectEntry/WeightsCache.cpp
@@ -15,8 +15,8 @@
 static constexpr size_t origin_fetches_in_flight = 2;
 // Few instances read from the origin, so that each chunk arrives early and whole.
 static constexpr size_t seeders = 4;
-static constexpr size_t uploads_at_once = 4;
-static constexpr size_t waiting_uploads = 128;
+static constexpr size_t max_concurrent_uploads = 4;
+static constexpr size_t max_waiting_uploads = 128;
 static constexpr int status_not_found = 404;
 
 static Weights::CopyFetcherSettings fetcher_settings(WeightsCacheSettings const& settings)
@@ -53,7 +53,7 @@
         copy.goal->switch_if_due();
         auto const& goal = copy.goal->current();
         if (goal && is_wanted(copy, goal->version))
-            copy.fetcher->turn(now);
+            copy.fetcher->advance(now);
         else
             copy.fetcher->drop_older_if_unneeded();
     }
@@ -84,8 +84,8 @@
     copy.goal = std::make_unique<Weights::CopyGoal>(*copy.fetcher, Weights::CopyGoal::Callbacks { .is_seeking = [this, &copy](int64_t version) { return is_wanted(copy, version); }, .before_switch = {} });
     Weights::ChunkServerSettings uploads;
     uploads.bytes_per_second = m_settings.bytes_per_second;
-    uploads.max_concurrent_uploads = uploads_at_once;
-    uploads.waiting = waiting_uploads;
+    uploads.max_concurrent_uploads = max_concurrent_uploads;
+    uploads.max_waiting_uploads = max_waiting_uploads;
     copy.server = std::make_unique<Weights::ChunkServer>(m_loop, uploads, m_metrics, copy.fetcher->store());
     return copy;
 }
--- a/Services/EngineAgent/EngineAgent.cpp
+++ b/Services/EngineAgent/EngineAgent.cpp
@@ -15,7 +15,7 @@
 static constexpr Core::Duration state_repetition_interval { 1000 };
 static constexpr Core::Duration seed_interval { 500 };
 // Shortest pause that is handled: after it the other ends have dropped the links of this process.
-static constexpr Core::Duration shortest_handled_pause = Transport::LinkKeepAlive {}.silence;
+static constexpr Core::Duration link_losing_pause = Transport::LinkKeepAlive {}.silence;
 static constexpr size_t max_neighbours = 32;
 static constexpr size_t fetches_with_caches = 3;
 // A chunk alone takes about 35 ms on the network link of the users' instances.
@@ -75,11 +75,11 @@
             m_hub->send(peer, message);
     };
     m_loader = std::make_unique<WeightsLoader>(loop, weights_loader_settings(settings), m_metrics, *m_engine, *m_origin, WeightsLoader::Callbacks { .announce = announce, .changed = [this] { send_state(); }, .detect_pause = [this] { m_pauses.check_for_pause(); } });
-    m_pauses.on_resumed(shortest_handled_pause, [this](Core::Duration paused_for) { on_resumed(paused_for); });
+    m_pauses.on_resumed(link_losing_pause, [this](Core::Duration paused_for) { on_resumed(paused_for); });
     Weights::ChunkServerSettings uploads;
     uploads.bytes_per_second = static_cast<int64_t>(settings.link_megabits_per_second * bytes_per_megabit * upload_part_of_link);
     uploads.max_concurrent_uploads = max_concurrent_uploads;
-    uploads.waiting = max_waiting_uploads;
+    uploads.max_waiting_uploads = max_waiting_uploads;
     m_chunks = std::make_unique<Weights::ChunkServer>(loop, uploads, m_metrics, m_loader->store());
     m_state_timer = loop.every(state_interval, [this] { send_state_if_changed(); });
     m_seed_timer = loop.every(seed_interval, [this] { dial_one_more_seed(); });
--- a/Services/EngineAgent/WeightsLoader.cpp
+++ b/Services/EngineAgent/WeightsLoader.cpp
@@ -100,7 +100,7 @@
 void WeightsLoader::on_goal_change(Schema::WeightsGoal const& next, Core::Time named_at)
 {
     keep_loading_older();
-    m_unmet_goals.on_named(next.version, named_at);
+    m_unreached_versions.on_named(next.version, named_at);
     m_load.reset();
 }
 
@@ -189,7 +189,7 @@
     // Nothing is fetched for an engine that does not answer, unless the transfer has begun.
     bool const is_engine_there = m_report.has_value() || m_fetcher.has_manifest();
     if (is_engine_there && m_adopting == 0)
-        m_fetcher.turn(now);
+        m_fetcher.advance(now);
     run_load(now);
     publish_changes();
 }
@@ -318,7 +318,7 @@
 bool WeightsLoader::may_switch(Schema::WeightsGoal const& goal, Core::Time goal_at, Core::Time now) const
 {
     // The deadline takes precedence over serving capacity: an engine that is close to it switches at once.
-    auto const named_at = std::min(goal_at, m_unmet_goals.oldest_named_at().value_or(goal_at));
+    auto const named_at = std::min(goal_at, m_unreached_versions.oldest_named_at().value_or(goal_at));
     if (now >= named_at + Core::Duration(goal.bound_ms) - switch_time_before_deadline)
         return true;
     std::vector<std::string> ids { m_settings.fetcher.identity };
@@ -338,9 +338,9 @@
 void WeightsLoader::order(int64_t version, Distribution::OrderLoad const& due)
 {
     auto const goal_at = m_older && m_older->goal.version == version ? m_older->goal_at : m_goal.named_at();
-    Core::log_event(Core::LogLevel::Info, "load_ordered", { { "version", std::to_string(version) }, { "expected_sequence", due.expected_sequence ? std::to_string(*due.expected_sequence) : "any" }, { "manner", due.manner == Platform::LoadMode::EvictRunning ? "evict" : "wait" }, { "running", std::to_string(m_report ? m_report->running : 0) }, { "after_ms", std::to_string((Core::monotonic_now() - goal_at).count()) } });
+    Core::log_event(Core::LogLevel::Info, "load_ordered", { { "version", std::to_string(version) }, { "expected_sequence", due.expected_sequence ? std::to_string(*due.expected_sequence) : "any" }, { "manner", due.mode == Platform::LoadMode::EvictRunning ? "evict" : "wait" }, { "running", std::to_string(m_report ? m_report->running : 0) }, { "after_ms", std::to_string((Core::monotonic_now() - goal_at).count()) } });
     m_metrics.count("mountbarrow_load_orders_total");
-    m_engine.start(goal()->model, version, due.manner, due.expected_sequence, [this, version](Platform::OrderOutcome outcome) {
+    m_engine.start(goal()->model, version, due.mode, due.expected_sequence, [this, version](Platform::OrderOutcome outcome) {
         Core::log_event(Core::LogLevel::Info, "load_answered", { { "version", std::to_string(version) }, { "outcome", std::to_string(static_cast<int>(outcome)) } });
         if (auto* load = load_of(version))
             load->on_ordered(outcome, Core::monotonic_now());
@@ -426,7 +426,7 @@
     m_published_start = m_started_at_ms;
     Core::log_event(Core::LogLevel::Info, "engine_changed", { { "version", std::to_string(version) }, { "busy", is_busy ? "yes" : "no" }, { "reachable", m_report ? "yes" : "no" } });
     bool const is_other_version = version != m_last_version;
-    m_unmet_goals.on_serving(version);
+    m_unreached_versions.on_serving(version);
     m_last_version = version;
     m_was_busy = is_busy;
     if (is_other_version && goal())
--- a/Services/EngineAgent/WeightsLoader.h
+++ b/Services/EngineAgent/WeightsLoader.h
@@ -134,7 +134,7 @@
     Platform::EngineApi& m_engine;
     Callbacks m_callbacks;
 
-    Distribution::UnreachedVersions m_unmet_goals;
+    Distribution::UnreachedVersions m_unreached_versions;
     std::unique_ptr<Distribution::StagedLoad> m_load;
     Weights::CopyFetcher m_fetcher;
     Weights::CopyGoal m_goal;
--- a/Services/Weights/ChunkServer.cpp
+++ b/Services/Weights/ChunkServer.cpp
@@ -45,7 +45,7 @@
     auto const held = std::strtoul(exchange->query("held").value_or("0").c_str(), nullptr, 10);
     m_waiting.push_back({ exchange, std::move(chunk), exchange->query("for") == "cache", held });
     std::erase_if(m_waiting, [](auto const& waiting) { return waiting.exchange->is_over(); });
-    if (m_waiting.size() <= m_settings.waiting)
+    if (m_waiting.size() <= m_settings.max_waiting_uploads)
         return;
     // The peer that holds the most chunks can most easily find another source.
     auto const furthest = std::max_element(m_waiting.begin(), m_waiting.end(), has_priority);
--- a/Services/Weights/ChunkServer.h
+++ b/Services/Weights/ChunkServer.h
@@ -23,7 +23,7 @@
     /// Maximum number of concurrent uploads to peers. More uploads would share the link, and each chunk would arrive later.
     size_t max_concurrent_uploads { 1 };
     /// Maximum number of requests that wait for an upload to end, so that the link is never idle in between.
-    size_t waiting { 1 };
+    size_t max_waiting_uploads { 1 };
 };
 
 /// Sends the chunks that this instance holds to peers and to the local engine. Queues requests of peers beyond the limit of concurrent
--- a/Services/Weights/CopyFetcher.cpp
+++ b/Services/Weights/CopyFetcher.cpp
@@ -79,7 +79,7 @@
     m_transfer->set_region_instances(sources.same_region);
 }
 
-void CopyFetcher::turn(Core::Time now)
+void CopyFetcher::advance(Core::Time now)
 {
     if (!m_goal)
         return;
@@ -105,7 +105,7 @@
     progress.held_count = m_transfer ? m_transfer->held_count() : 0;
     progress.is_newer_held_by_peers = m_peer_chunks.distinct_chunks(m_goal->model, newer) >= progress.chunk_count;
     progress.time_since_named = now - m_named_at;
-    progress.deadline = Core::Duration(m_goal->bound_ms);
+    progress.version_time_limit = Core::Duration(m_goal->bound_ms);
     return progress;
 }
 
@@ -285,7 +285,7 @@
     m_callbacks.announce(piece_map_of(*m_wanted));
     if (m_callbacks.announce_to_other_regions)
         m_callbacks.announce_to_other_regions(piece_map_of(*m_wanted));
-    turn(now);
+    advance(now);
 }
 
 void CopyFetcher::on_peer_pieces(std::string const& peer, Schema::PieceMap const& map)
--- a/Services/Weights/CopyFetcher.h
+++ b/Services/Weights/CopyFetcher.h
@@ -84,7 +84,7 @@
 
     /// Requests the manifest, starts and cancels reads, and sends announcements, as they are due. Must be called every few tens of
     /// milliseconds.
-    void turn(Core::Time now);
+    void advance(Core::Time now);
     /// Drops the older version if no other instance lacks it any more.
     void drop_older_if_unneeded();
 
--- a/Tests/LibDistribution/TestStagedLoad.cpp
+++ b/Tests/LibDistribution/TestStagedLoad.cpp
@@ -293,7 +293,7 @@
     EXPECT_FALSE(order.has_value());
     run(20 + settings.drain_timeout.count(), { .may_switch = true, .may_evict = true });
     ASSERT_TRUE(order.has_value());
-    EXPECT_EQ(order->manner, Platform::LoadMode::EvictRunning);
+    EXPECT_EQ(order->mode, Platform::LoadMode::EvictRunning);
 }
 
 TEST(StagedLoad, RequestsAreNotEvictedUnlessAllowed)
@@ -315,7 +315,7 @@
         }
     }
     ASSERT_TRUE(order.has_value());
-    EXPECT_EQ(order->manner, Platform::LoadMode::WaitForRunning);
+    EXPECT_EQ(order->mode, Platform::LoadMode::WaitForRunning);
 }
 
 TEST(StagedLoad, AnEngineThatServesANewerVersionIsNotOrderedBack)
--- a/Tests/Weights/TestCopyFetcher.cpp
+++ b/Tests/Weights/TestCopyFetcher.cpp
@@ -48,14 +48,14 @@
 
     void fetch_all()
     {
-        m_fetcher.turn(Core::monotonic_now());
+        m_fetcher.advance(Core::monotonic_now());
         m_origin.deliver_all();
         ASSERT_TRUE(m_fetcher.is_complete());
     }
 
     void fetch_manifest()
     {
-        m_fetcher.turn(Core::monotonic_now());
+        m_fetcher.advance(Core::monotonic_now());
         m_origin.deliver_all();
         ASSERT_TRUE(m_fetcher.has_manifest());
     }
@@ -78,7 +78,7 @@
 {
     switch_to(1);
     fetch_all();
-    m_fetcher.turn(Core::monotonic_now());
+    m_fetcher.advance(Core::monotonic_now());
     EXPECT_EQ(m_announced_to_other_regions[1], (std::set<int64_t> { 0, 1, 2 }));
 }
 
@@ -86,7 +86,7 @@
 TEST_F(CopyFetcherTest, ReadsFromTheOriginAreCancelledWhenTheVersionChanges)
 {
     switch_to(1);
-    m_fetcher.turn(Core::monotonic_now());
+    m_fetcher.advance(Core::monotonic_now());
     m_origin.deliver_one();
     ASSERT_TRUE(m_fetcher.has_manifest());
     auto const reads = m_origin.waiting();
@@ -114,10 +114,10 @@
         goal.origin_address = "origin";
         auto const now = Core::monotonic_now();
         fetcher.set_goal(goal, now);
-        fetcher.turn(now);
+        fetcher.advance(now);
         readers += origin.waiting();
         // The other caches also read from the origin later, in case those few are lost.
-        fetcher.turn(now + Core::Duration(2000));
+        fetcher.advance(now + Core::Duration(2000));
         EXPECT_GE(origin.waiting(), 1u) << identity;
     }
     EXPECT_EQ(readers, settings().transfer.seeders);
@@ -145,7 +145,7 @@
     EXPECT_EQ(maps[1].version, 2);
     // No instance lacks version 1 any more.
     m_lacked = 0;
-    m_fetcher.turn(Core::monotonic_now());
+    m_fetcher.advance(Core::monotonic_now());
     EXPECT_EQ(m_fetcher.held().size(), 1u);
     EXPECT_FALSE(holds(1, 1));
     EXPECT_TRUE(holds(1, 0)) << "the newer version has this chunk as well";
@@ -157,7 +157,7 @@
     switch_to(1);
     fetch_all();
     switch_to(2);
-    m_fetcher.turn(Core::monotonic_now());
+    m_fetcher.advance(Core::monotonic_now());
     switch_to(3);
     fetch_manifest();
     EXPECT_TRUE(holds(1, 1));
--- a/Tests/Weights/TestCopyGoal.cpp
+++ b/Tests/Weights/TestCopyGoal.cpp
@@ -49,7 +49,7 @@
 
     void begin()
     {
-        m_fetcher.turn(Core::monotonic_now());
+        m_fetcher.advance(Core::monotonic_now());
         m_origin.deliver_one();
         ASSERT_TRUE(m_fetcher.has_manifest());
     }
